--- a/packages/node/src/bronzepoint_node/policy/_choose_region.py
+++ b/packages/node/src/bronzepoint_node/policy/_choose_region.py
@@ -1,4 +1,4 @@
-"""Home or another region: the worth of the answer against its delay and its cost."""
+"""Choice of a region by the expected delay and cost relative to the answer's worth."""
 
 from random import Random
 
@@ -6,25 +6,28 @@
 
 from bronzepoint_node.policy._inputs import RegionView, RequestView
 from bronzepoint_node.policy._outputs import RegionChoice
-from bronzepoint_node.policy._ramp import AwayRamp
+from bronzepoint_node.policy._ramp import ForwardRamp
 from bronzepoint_node.policy._service_times import ServiceTimes
 from bronzepoint_schema.generated.decisions import Candidate, ExclusionReason
 from bronzepoint_schema.ids import RegionName
 
-_STALE_AFTER = 10.0
-"""Seconds after which a summary of another region is not acted on."""
-_RETURN_TOLERANCE = 0.2
-"""Loss, as a share of the worth, that is accepted to bring work home slowly."""
+_STALE_SECONDS = 10.0
+"""Age from which the summary of another region is ignored."""
+_MAX_RETURN_LOSS = 0.2
+"""Additional loss, as a share of the worth, up to which requests are still forwarded
+while the forwarded share falls."""
 
 
 class RegionTerms(Struct):
-    """What serving in one region is expected to bring.
+    """Expected delay and cost of serving a request in one region.
 
     Attributes:
+        view: summary of the region.
         delay: seconds until the first token.
-        cost: of the slot, in the operator's unit.
-        sent_since: own requests sent there since the summary was made.
-        warm_share: part of the prompt believed cached there.
+        cost: cost of the slot, in the operator's unit.
+        sent_since: estimated requests forwarded there since the summary was made, by
+            all hosts of this region.
+        warm_share: share of the prompt believed to be cached there.
     """
 
     view: RegionView
@@ -40,7 +43,7 @@
         return latency + request.cost_weight * self.cost / worth
 
     def detail(self) -> str:
-        """Return the terms for the decision record."""
+        """Return the estimate as text for the decision record."""
         return (
             f"delay {self.delay:.3f} s, cost {self.cost:.2f}, "
             f"warm {self.warm_share:.0%}, sent since {self.sent_since:.0f}"
@@ -54,53 +57,53 @@
     sent_since: float,
     warm_share: float,
 ) -> RegionTerms:
-    """Return the terms of another region.
+    """Return the estimate for another region.
 
-    Summaries are late, so what was sent there since is added: own requests as
-    counted, and those of the other hosts as if they had sent as many.
+    Summaries are late, so the requests forwarded since are added: this host's own as
+    counted, and those of the other hosts as if they had forwarded as many.
     """
     uncached = request.prompt_tokens * (1 - warm_share)
     load = view.in_progress + sent_since
-    over = max(0.0, load + 1 - view.slots)
-    wait = max(view.expected_wait, over * times.hold / max(1, view.slots))
+    excess_load = max(0.0, load + 1 - view.slots)
+    wait = max(view.expected_wait, excess_load * times.hold / max(1, view.slots))
     delay = view.trip + wait + times.first_token(uncached)
     cost = view.cost * times.hold
     return RegionTerms(view, delay, cost, sent_since, warm_share)
 
 
-def serves(request: RequestView, region: RegionName) -> bool:
-    """Return whether residency lets a region serve a request."""
+def residency_allows(request: RequestView, region: RegionName) -> bool:
+    """Return whether residency allows a region to serve a request."""
     allowed = request.allowed_regions
     return allowed is None or region in allowed
 
 
-def region_excluded(
-    view: RegionView, request: RequestView, home: RegionName
+def region_exclusion(
+    view: RegionView, request: RequestView, own_region: RegionName
 ) -> ExclusionReason | None:
-    """Return why a region may not be used at all, or None. Residency goes first."""
-    if not serves(request, view.name):
+    """Return why a region may not be used at all, or None; residency comes first."""
+    if not residency_allows(request, view.name):
         return ExclusionReason.residency
     if view.name in request.tried_regions:
         return ExclusionReason.tried
     if view.slots <= 0:
         return ExclusionReason.not_ready
-    if view.name == home:
+    if view.name == own_region:
         return None
-    if not view.reachable or view.hosts <= 0 or view.age > _STALE_AFTER:
+    if not view.reachable or view.hosts <= 0 or view.age > _STALE_SECONDS:
         return ExclusionReason.unreachable
     return None
 
 
 def draw_region(
-    terms: list[RegionTerms], request: RequestView, rng: Random
+    estimates: list[RegionTerms], request: RequestView, rng: Random
 ) -> RegionTerms:
-    """Return one of the regions that are nearly as good as the best.
+    """Draw one of the regions that are nearly as good as the best.
 
-    The draw is weighted by free slots: hosts that see the same summaries spread over
-    the regions in proportion to what these can take.
+    The draw is weighted by free slots: hosts that see the same summaries spread their
+    requests over the regions in proportion to their free capacity.
     """
-    best = min(item.loss(request) for item in terms)
-    near = [item for item in terms if item.loss(request) <= best + 0.02]
+    best = min(item.loss(request) for item in estimates)
+    near = [item for item in estimates if item.loss(request) <= best + 0.02]
     free = [
         max(0.5, item.view.slots - item.view.in_progress - item.sent_since)
         for item in near
@@ -110,66 +113,71 @@
 
 def choose_region(
     request: RequestView,
-    left: float,
-    here: RegionTerms | None,
-    away: list[RegionTerms],
-    ramp: AwayRamp,
+    time_left: float,
+    local: RegionTerms | None,
+    remote: list[RegionTerms],
+    ramp: ForwardRamp,
     hysteresis: float,
     rng: Random,
     now: float,
 ) -> RegionChoice:
-    """Choose between home and the allowed other regions.
+    """Choose between this region and the allowed other regions.
 
     Args:
-        request: What is to be placed.
-        left: Seconds left until its deadline.
-        here: Terms of the home region; None where it can't serve the request.
-        away: Terms of the other regions that may serve it.
-        ramp: The entry's share sent away.
-        hysteresis: Advantage of another region below which requests stay.
+        request: The request to place.
+        time_left: Seconds left until its deadline.
+        local: Estimate for this region; None where it can't serve the request.
+        remote: Estimates for the other regions that may serve it.
+        ramp: The entry's share of forwarded requests.
+        hysteresis: Advantage of another region, as a share of the worth, up to which
+            requests are served in this region.
         rng: Source of the random draws.
         now: Monotonic seconds.
     """
-    in_time = [item for item in away if item.delay <= left]
+    in_time = [item for item in remote if item.delay <= time_left]
     if not in_time:
-        if here is not None:
-            return _chosen(request, here, "no other region is better", here, away)
-        if away:
-            last = min(away, key=lambda item: item.loss(request))
-            return _chosen(request, last, "only other regions serve it", here, away)
+        if local is not None:
+            return _make_choice(
+                request, local, "no other region is better", local, remote
+            )
+        if remote:
+            last = min(remote, key=lambda item: item.loss(request))
+            return _make_choice(
+                request, last, "only other regions serve it", local, remote
+            )
         return RegionChoice(None, [], "no allowed region can serve the entry")
     other = draw_region(in_time, request, rng)
-    if here is None:
-        return _chosen(request, other, "home can't serve it", here, away)
-    if here.delay > left:
-        # Refusing is the alternative, so the ramp doesn't hold this one back; the
-        # other region refuses what it can't take.
+    if local is None:
+        return _make_choice(request, other, "home can't serve it", local, remote)
+    if local.delay > time_left:
+        # This region would have to refuse it, so the ramp doesn't apply; the other
+        # region refuses what it can't serve.
         ramp.update(True, now)
-        return _chosen(request, other, "home misses the deadline", here, away)
-    advantage = here.loss(request) - other.loss(request)
-    wants_away = advantage > hysteresis
-    share = ramp.update(wants_away, now)
-    if wants_away and rng.random() < share:
-        reason = f"less loss than at home, share away {share:.0%}"
-        return _chosen(request, other, reason, here, away)
-    if wants_away:
-        reason = f"stays while the share away rises from {share:.0%}"
-        return _chosen(request, here, reason, here, away)
-    if -advantage < _RETURN_TOLERANCE and rng.random() < share:
-        reason = f"goes while the share away falls from {share:.0%}"
-        return _chosen(request, other, reason, here, away)
-    return _chosen(request, here, "least expected loss at home", here, away)
-
-
-def _chosen(
+        return _make_choice(request, other, "home misses the deadline", local, remote)
+    advantage = local.loss(request) - other.loss(request)
+    prefers_remote = advantage > hysteresis
+    share = ramp.update(prefers_remote, now)
+    if prefers_remote and rng.random() < share:
+        reason = f"less loss than at home, forwarded share {share:.0%}"
+        return _make_choice(request, other, reason, local, remote)
+    if prefers_remote:
+        reason = f"served at home while the forwarded share rises from {share:.0%}"
+        return _make_choice(request, local, reason, local, remote)
+    if -advantage < _MAX_RETURN_LOSS and rng.random() < share:
+        reason = f"forwarded while the forwarded share falls from {share:.0%}"
+        return _make_choice(request, other, reason, local, remote)
+    return _make_choice(request, local, "least expected loss at home", local, remote)
+
+
+def _make_choice(
     request: RequestView,
     chosen: RegionTerms,
     reason: str,
-    here: RegionTerms | None,
-    away: list[RegionTerms],
+    local: RegionTerms | None,
+    remote: list[RegionTerms],
 ) -> RegionChoice:
     candidates = []
-    for item in [*([here] if here else []), *away]:
+    for item in [*([local] if local else []), *remote]:
         excluded = None if item is chosen else ExclusionReason.worse
         score = round(item.loss(request), 4)
         name = item.view.name
@@ -182,6 +190,6 @@
     "away_terms",
     "choose_region",
     "draw_region",
-    "region_excluded",
-    "serves",
+    "region_exclusion",
+    "residency_allows",
 ]
--- a/packages/node/src/bronzepoint_node/policy/_choose_target.py
+++ b/packages/node/src/bronzepoint_node/policy/_choose_target.py
@@ -1,4 +1,4 @@
-"""Choice of a target in this region."""
+"""Choice of a target in this region by expected loss."""
 
 import math
 from random import Random
@@ -13,36 +13,40 @@
 from bronzepoint_schema.generated.decisions import Candidate, ExclusionReason
 from bronzepoint_schema.ids import TargetName
 
-_AFFINITY_BOUND = 1.25
-"""A target above this multiple of the mean load gets no credit for its cache,"""
-_AFFINITY_SLOTS = 0.75
-"""unless less than this part of its slots is in use."""
-_FIRST_CHOICE_CREDIT = 0.5
-"""Part of the uncached tokens' time that is forgiven the target that a new prefix
-belongs to: all hosts send it to the same one without a message."""
-_SECOND_COPY_COST = 0.1
-"""Part of a prompt's time that another target is charged, cached or not: a second copy
-of a prefix takes the place of a rare one."""
-_KEY_BLOCK = 3
-"""Block whose hash says where a prefix belongs; what follows is the request's own."""
-_BUSY_SHARE = 0.25
-"""Share of the hold time that a full target is taken to cost over an idle one."""
-_FETCH_PRICE = 0.2
-"""Price of copying a token against that of reading it."""
-_NEAR = 0.05
-"""Scores this near, as a share of the hold time, differ by less than is known."""
-
-
-class TargetTerms(Struct):
-    """The parts of one target's score, in seconds but for the cost.
+_AFFINITY_LOAD_FACTOR = 1.25
+"""A target whose load exceeds this multiple of the mean load per slot gets no credit
+for its cached prefixes."""
+_AFFINITY_MIN_UTILISATION = 0.75
+"""A target with less than this share of its slots in use always gets the credit."""
+_PREFERRED_TARGET_DISCOUNT = 0.5
+"""Share of the uncached tokens that isn't charged to the preferred target of a prefix.
+With it all hosts send a new prefix to the same target without exchanging messages."""
+_DUPLICATE_PREFIX_PENALTY = 0.1
+"""Share of the prompt's tokens that is charged to a target other than the preferred
+one, cached or not: a second copy of a prefix displaces a rare one."""
+_PREFIX_KEY_BLOCK = 3
+"""Index of the block whose hash selects the preferred target. Later blocks are usually
+specific to one request."""
+_BATCH_SLOWDOWN_SHARE = 0.25
+"""Share of the hold time by which a full target is assumed to be slower than an idle
+one."""
+_COPY_COST_RATIO = 0.2
+"""Cost of copying a cached token relative to computing it."""
+_SCORE_MARGIN = 0.05
+"""Scores that differ by less than this share of the hold time count as equal: the
+estimates are no more precise."""
+
+
+class TargetEstimate(Struct):
+    """The components of one target's score, in seconds unless stated otherwise.
 
     Attributes:
-        load: requests estimated to be in progress there.
-        wait: until a slot is free.
-        first_token: from the start to the first token, cold tokens included.
-        busy: what company in the batch is estimated to cost.
-        reread: what is lost where it reads again what another target keeps.
-        cost: of the slot, in the operator's unit.
+        load: number of requests estimated to be in progress there.
+        wait: time until a slot is free.
+        first_token: time from the start to the first token, uncached tokens included.
+        busy: estimated slowdown by other requests in the batch.
+        reread: weighted time to compute or copy tokens that another target has cached.
+        cost: cost of the slot, in the operator's unit.
     """
 
     load: float
@@ -57,24 +61,24 @@
         return self.wait + self.first_token
 
     def loss(self, request: RequestView) -> float:
-        """Return what this request loses there, as a share of its worth."""
+        """Return the loss of this request, as a share of its worth."""
         latency = request.latency_weight * (self.delay() + self.busy)
         worth = max(request.worth, 1e-9)
         return latency + request.cost_weight * self.cost / worth
 
     def score(self, request: RequestView) -> float:
-        """Return the loss of this request and of others; lower is better."""
+        """Return the loss including the cost to other requests; lower is better."""
         return self.loss(request) + request.latency_weight * self.reread
 
     def detail(self) -> str:
-        """Return the terms for the decision record."""
+        """Return the components as text for the decision record."""
         return (
             f"load {self.load:.1f}, wait {self.wait:.3f} s, "
             f"first token {self.first_token:.3f} s, cost {self.cost:.2f}"
         )
 
 
-def usable_state(view: TargetView, request: RequestView) -> ExclusionReason | None:
+def target_exclusion(view: TargetView, request: RequestView) -> ExclusionReason | None:
     """Return why a target may not be used at all, or None."""
     if view.name in request.tried:
         return ExclusionReason.tried
@@ -88,98 +92,105 @@
     return None
 
 
-def has_room(view: TargetView, load: float, hosts: int, memory_tokens: int = 0) -> bool:
+def has_free_capacity(
+    view: TargetView, load: float, hosts: int, memory_tokens: int = 0
+) -> bool:
     """Return whether one more request may start at a target.
 
-    A host may always use its equal part of the slots. Were it bound by the estimate
-    alone, a late report of others' requests would keep a host idle that has waiting
-    callers.
+    A host may always use its equal share of the slots. With the estimate alone, a late
+    report of other hosts' requests could keep a host idle while its callers wait.
     """
     if memory_tokens > view.free_tokens:
-        # It would be rejected, or preempt others that then are read in again.
+        # The engine would reject it, or preempt requests whose prompts are then
+        # computed again.
         return False
     if view.allowed is not None and view.in_flight >= view.allowed:
         return False
-    own_part = view.slots // max(1, hosts)
-    return load < view.slots or view.in_flight < own_part
+    own_share = view.slots // max(1, hosts)
+    return load < view.slots or view.in_flight < own_share
 
 
 def credited_cache(
     view: TargetView, load: float, mean_load: float, request: RequestView
 ) -> int:
-    """Return the tokens of a prompt for which a target's cache counts.
+    """Return the tokens of a prompt that count as cached at a target.
 
-    A cached prefix draws all its requests to one target. The credit ends at a bound
-    above the mean load, or a prefix in fashion would drown the target that holds it
-    while others stand idle.
+    A cached prefix attracts all its requests to one target. The credit ends at a bound
+    above the mean load; otherwise a popular prefix would overload the target that holds
+    it while others are idle.
     """
-    if load > _affinity_bound(view, mean_load):
+    if load > _affinity_load_limit(view, mean_load):
         return 0
     return min(view.cached_tokens, request.prompt_tokens)
 
 
-def _affinity_bound(view: TargetView, mean_load: float) -> float:
-    return max(_AFFINITY_SLOTS, _AFFINITY_BOUND * mean_load) * view.slots
+def _affinity_load_limit(view: TargetView, mean_load: float) -> float:
+    return (
+        max(_AFFINITY_MIN_UTILISATION, _AFFINITY_LOAD_FACTOR * mean_load) * view.slots
+    )
 
 
-def target_terms(
+def estimate_target(
     view: TargetView,
     load: float,
     mean_load: float,
-    most_cached: int,
+    max_cached: int,
     request: RequestView,
     times: ServiceTimes,
-    first_choice: bool,
+    is_preferred: bool,
     now: float,
-) -> TargetTerms:
-    """Return the parts of one target's score.
+) -> TargetEstimate:
+    """Return the components of one target's score.
 
     Args:
         view: The target.
         load: Requests estimated to be in progress there.
-        mean_load: Requests for each slot, over all targets.
-        most_cached: Tokens of the prompt that some target keeps and may be asked for.
-        request: What is to be placed.
-        times: What is known of the entry's durations.
-        first_choice: The prompt's prefix belongs to this target.
+        mean_load: Requests per slot, over all targets.
+        max_cached: Largest number of the prompt's tokens that a target has cached and
+            can provide.
+        request: The request to place.
+        times: Estimated durations of the entry's requests.
+        is_preferred: Whether it is the preferred target of the prompt's prefix.
         now: Monotonic seconds.
     """
     slowness = times.slowness(view.name, now)
     cached = credited_cache(view, load, mean_load, request)
     fetched, fetching = 0, 0.0
     if request.copy_seconds < times.per_token:
-        fetched = max(0, most_cached - cached)
+        fetched = max(0, max_cached - cached)
         fetching = fetched * request.copy_seconds
-    within_bound = load <= _affinity_bound(view, mean_load)
+    within_bound = load <= _affinity_load_limit(view, mean_load)
     uncached = request.prompt_tokens - cached - fetched
-    if first_choice and within_bound:
-        uncached *= 1 - _FIRST_CHOICE_CREDIT
-    elif not first_choice:
-        uncached += _SECOND_COPY_COST * request.prompt_tokens
-    over = max(0.0, load + 1 - view.slots)
+    if is_preferred and within_bound:
+        uncached *= 1 - _PREFERRED_TARGET_DISCOUNT
+    elif not is_preferred:
+        uncached += _DUPLICATE_PREFIX_PENALTY * request.prompt_tokens
+    excess_load = max(0.0, load + 1 - view.slots)
     hold = times.hold * slowness
-    return TargetTerms(
+    return TargetEstimate(
         load=load,
-        wait=over * hold / view.slots + view.backlog * slowness,
+        wait=excess_load * hold / view.slots + view.backlog * slowness,
         first_token=fetching + times.first_token(uncached, slowness),
-        busy=_BUSY_SHARE * hold * load / view.slots,
+        busy=_BATCH_SLOWDOWN_SHARE * hold * load / view.slots,
         reread=request.reread_weight
         * times.per_token
-        * (_FETCH_PRICE * fetched + max(0, most_cached - cached - fetched)),
+        * (_COPY_COST_RATIO * fetched + max(0, max_cached - cached - fetched)),
         cost=view.cost * hold,
     )
 
 
-def prefix_owner(request: RequestView, views: list[TargetView]) -> TargetName | None:
-    """Return the one of usable targets that a prompt's prefix belongs to.
+def preferred_target(
+    request: RequestView, views: list[TargetView]
+) -> TargetName | None:
+    """Return the preferred target of a prompt's prefix among the usable ones.
 
-    What is cached where is known late and with gaps. Left to that alone, each host
-    computes a rare prefix wherever it happens to send it, all targets hold the same
-    prefixes, and none holds the rare ones.
+    The cache contents are known late and with gaps. If hosts relied on them alone, each
+    would send a rare prefix to another target, all targets would hold the same popular
+    prefixes, and no target the rare ones.
     """
     if not request.prefix_hashes:
         return None
-    key = request.prefix_hashes[min(_KEY_BLOCK, len(request.prefix_hashes) - 1)]
+    key = request.prefix_hashes[min(_PREFIX_KEY_BLOCK, len(request.prefix_hashes) - 1)]
     names = [view.name for view in views]
     return ranked(key, names)[0] if names else None
 
@@ -189,121 +200,123 @@
     views: list[TargetView],
     times: ServiceTimes,
     hosts: int,
-    memory: float,
+    report_memory: float,
     rng: Random,
     now: float,
     explain: bool = True,
 ) -> TargetChoice:
-    """Choose a target with room, by the loss that it is expected to bring.
+    """Choose the target with free capacity that has the least expected loss.
 
-    Where several are about as good, one of them is drawn at random. Hosts that decide
-    on the same late reports would otherwise all choose the same one.
+    Among nearly equal targets, one is drawn at random. Hosts that decide on the same
+    late reports would otherwise all choose the same one.
 
     Args:
-        request: What is to be placed.
+        request: The request to place.
         views: The entry's targets in this region.
-        times: What is known of the entry's durations.
-        hosts: Live hosts of this region, this one included.
-        memory: Seconds after which a report weighs a third of what it did.
+        times: Estimated durations of the entry's requests.
+        hosts: Number of live hosts of this region, this one included.
+        report_memory: Seconds after which a report's weight has decayed to 1/e.
         rng: Source of the random draws.
         now: Monotonic seconds.
-        explain: Give the score of each candidate, for a decision record.
+        explain: Include the score of each candidate, for a decision record.
     """
-    loads = estimate_loads(views, memory)
+    loads = estimate_loads(views, report_memory)
     mean_load = sum(loads) / max(1, sum(view.slots for view in views))
     candidates: list[Candidate] = []
-    usable: list[_Option] = []
+    usable: list[_ScoredTarget] = []
     for view, load in zip(views, loads, strict=True):
-        excluded = usable_state(view, request)
+        excluded = target_exclusion(view, request)
         candidate = None
         if explain:
             candidate = Candidate(view.name, view.region, excluded=excluded)
             candidates.append(candidate)
         if excluded is None:
-            usable.append(_Option(view, load, candidate))
-    open_options, least_if_full = _weigh(usable, mean_load, request, times, hosts, now)
-    if not open_options:
-        reason = "no target has room" if usable else "no target may be used"
+            usable.append(_ScoredTarget(view, load, candidate))
+    with_capacity, least_full_loss = _score_targets(
+        usable, mean_load, request, times, hosts, now
+    )
+    if not with_capacity:
+        reason = "no target has free capacity" if usable else "no target may be used"
         return TargetChoice(None, candidates, reason, len(usable))
-    margin = _NEAR * request.latency_weight * times.hold
-    least_loss = min(option.loss for option in open_options)
-    if least_if_full + margin < least_loss:
-        # The only room is at a slow target: waiting for a slot elsewhere is sooner.
-        # What a full target keeps doesn't count: requests would wait for it, and be
-        # refused, beside idle targets.
+    margin = _SCORE_MARGIN * request.latency_weight * times.hold
+    least_loss = min(scored.loss for scored in with_capacity)
+    if least_full_loss + margin < least_loss:
+        # Free capacity exists only at a slow target: waiting for a slot elsewhere is
+        # faster. The cache of a full target isn't counted here: requests would wait
+        # for that target, and be refused, while others are idle.
         reason = "a full target is sooner"
         return TargetChoice(None, candidates, reason, len(usable))
-    best = min(option.score for option in open_options)
-    near = [option for option in open_options if option.score <= best + margin]
+    best = min(scored.score for scored in with_capacity)
+    near = [scored for scored in with_capacity if scored.score <= best + margin]
     chosen = rng.choice(near)
-    for option in open_options:
-        if option.candidate is not None and option is not chosen:
-            option.candidate.excluded = ExclusionReason.worse
+    for scored in with_capacity:
+        if scored.candidate is not None and scored is not chosen:
+            scored.candidate.excluded = ExclusionReason.worse
     reason = f"least expected loss; {len(near)} within the margin, drawn at random"
-    delay, wait = chosen.terms.delay(), chosen.terms.wait
+    delay, wait = chosen.estimate.delay(), chosen.estimate.wait
     return TargetChoice(chosen.view, candidates, reason, len(usable), delay, wait)
 
 
-class _Option(Struct):
-    """A target that may be used, and what it is expected to bring."""
+class _ScoredTarget(Struct):
+    """A usable target with its score."""
 
     view: TargetView
     load: float
     candidate: Candidate | None
     score: float = math.inf
     loss: float = math.inf
-    terms: TargetTerms | None = None
+    estimate: TargetEstimate | None = None
 
 
-def _weigh(
-    usable: list[_Option],
+def _score_targets(
+    usable: list[_ScoredTarget],
     mean_load: float,
     request: RequestView,
     times: ServiceTimes,
     hosts: int,
     now: float,
-) -> tuple[list[_Option], float]:
-    """Return the targets with room, and the least loss at one without."""
-    owner = prefix_owner(request, [option.view for option in usable])
-    most_cached = max(
+) -> tuple[list[_ScoredTarget], float]:
+    """Return the targets with free capacity, and the least loss of a full one."""
+    preferred = preferred_target(request, [scored.view for scored in usable])
+    max_cached = max(
         (credited_cache(o.view, o.load, mean_load, request) for o in usable),
         default=0,
     )
-    open_options: list[_Option] = []
-    least_if_full = math.inf
-    for option in usable:
-        view, load = option.view, option.load
-        terms = target_terms(
+    with_capacity: list[_ScoredTarget] = []
+    least_full_loss = math.inf
+    for scored in usable:
+        view, load = scored.view, scored.load
+        estimate = estimate_target(
             view,
             load,
             mean_load,
-            most_cached,
+            max_cached,
             request,
             times,
-            view.name == owner,
+            view.name == preferred,
             now,
         )
-        option.terms = terms
-        option.loss = terms.loss(request)
-        option.score = option.loss + request.latency_weight * terms.reread
-        if option.candidate is not None:
-            option.candidate.score = round(option.score, 4)
-            option.candidate.detail = terms.detail()
-        if has_room(view, load, hosts, request.memory_tokens):
-            open_options.append(option)
+        scored.estimate = estimate
+        scored.loss = estimate.loss(request)
+        scored.score = scored.loss + request.latency_weight * estimate.reread
+        if scored.candidate is not None:
+            scored.candidate.score = round(scored.score, 4)
+            scored.candidate.detail = estimate.detail()
+        if has_free_capacity(view, load, hosts, request.memory_tokens):
+            with_capacity.append(scored)
             continue
-        if option.candidate is not None:
-            option.candidate.excluded = ExclusionReason.full
-        least_if_full = min(least_if_full, option.loss)
-    return open_options, least_if_full
+        if scored.candidate is not None:
+            scored.candidate.excluded = ExclusionReason.full
+        least_full_loss = min(least_full_loss, scored.loss)
+    return with_capacity, least_full_loss
 
 
 __all__ = [
-    "TargetTerms",
+    "TargetEstimate",
     "choose_target",
     "credited_cache",
-    "has_room",
-    "prefix_owner",
-    "target_terms",
-    "usable_state",
+    "estimate_target",
+    "has_free_capacity",
+    "preferred_target",
+    "target_exclusion",
 ]
--- a/packages/node/src/bronzepoint_node/policy/_fair_shares.py
+++ b/packages/node/src/bronzepoint_node/policy/_fair_shares.py
@@ -1,4 +1,4 @@
-"""Division of an amount by demand, so that the least served is served best."""
+"""Max-min fair division of an amount by demand."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -7,9 +7,9 @@
 
 
 def max_min_shares(amount: float, demands: Mapping[Name, float]) -> dict[Name, float]:
-    """Return the max-min fair shares: nobody gets more than asked for.
+    """Return the max-min fair shares; no share exceeds its demand.
 
-    What the modest leave is divided between the others in equal parts.
+    What small demands leave unused is divided equally between the larger ones.
     """
     shares: dict[Name, float] = {}
     left = amount
--- a/packages/node/src/bronzepoint_node/policy/_inputs.py
+++ b/packages/node/src/bronzepoint_node/policy/_inputs.py
@@ -1,4 +1,4 @@
-"""What the policy is told: plain values, taken at one moment, without any lookups."""
+"""Inputs of the policy: plain values, taken at one time, without any lookups."""
 
 import math
 from enum import StrEnum
@@ -29,15 +29,15 @@
 
     Attributes:
         in_flight: requests of this host in progress there, exact.
-        in_flight_at_report: the same, at the moment the report describes.
-        running: requests that the report says are worked on, from all hosts.
-        waiting: requests that the report says are queued in the target.
-        report_age: seconds since the moment the report describes.
+        in_flight_at_report: the same, at the time that the report describes.
+        running: requests of all hosts that run there, by the report.
+        waiting: requests of all hosts that are queued in the target, by the report.
+        report_age: seconds since the time that the report describes.
         cached_tokens: prompt tokens of this request believed to be cached there.
-        allowed: most requests this host may have there; None: no bound. Set while a
-            target comes back from ejection.
-        free_tokens: memory that running requests leave, in tokens.
-        backlog: seconds of prompts that are read there before a new one.
+        allowed: maximum number of requests of this host; None: no bound. Set while a
+            target returns from ejection.
+        free_tokens: memory not used by running requests, in tokens.
+        backlog: seconds of queued prompt processing ahead of a new request.
     """
 
     name: TargetName
@@ -58,16 +58,16 @@
 
 
 class RegionView(Struct):
-    """What is known of one entry in another region, or at home.
+    """State of one entry in one region, by the region's summary.
 
     Attributes:
         slots: slots of the entry's ready targets there; 0: it can't be served there.
         in_progress: requests running and waiting there, hosts' queues included.
-        expected_wait: seconds a new request waits there before it starts.
-        trip: seconds for one message there and back.
+        expected_wait: seconds for which a new request waits there before it starts.
+        trip: round-trip time of a message, in seconds.
         cost: mean cost of one slot second there.
         age: seconds since the summary was made.
-        hosts: live hosts there, which a request may be forwarded to.
+        hosts: number of live hosts there that a request may be forwarded to.
     """
 
     name: RegionName
@@ -82,7 +82,7 @@
 
 
 class RequestView(Struct):
-    """One request, with what its entry, its class and its owner say about it.
+    """One request, with the settings of its entry, its class and its owner.
 
     Attributes:
         home: home region of the caller.
@@ -90,20 +90,20 @@
         worth: worth of the answer, in the unit of cost.
         latency_weight: worth lost for each second of waiting, as a share of the worth.
         cost_weight: weight of the cost against the worth.
-        reread_weight: seconds of delay that are accepted to spare a second of reading
-            again what another target keeps.
+        reread_weight: seconds of delay accepted to save one second of computing tokens
+            that another target has cached.
         deadline_left: seconds left until the first token is worth nothing.
         prompt_tokens: estimated tokens of the prompt.
-        max_tokens: most tokens to be generated; 0: the caller didn't say.
+        max_tokens: maximum number of generated tokens; 0: the caller set none.
         prefix_hashes: hashes of the prompt's blocks (`bronzepoint_common.prefix`).
         allowed_regions: regions that residency allows; None: all.
-        forwarded: True where another region sent it; it is then served here or not
-            at all.
-        tried: targets that were tried already.
-        memory_tokens: memory of an engine that it takes up at most.
+        forwarded: True where another region sent it; it is then served in this region
+            or refused.
+        tried: targets that were already tried.
+        memory_tokens: maximum engine memory that it uses, in tokens.
         copy_seconds: seconds to copy a cached token from one target to another; inf:
             targets don't copy.
-        tried_regions: regions that refused it already.
+        tried_regions: regions that already refused it.
     """
 
     request_id: RequestId
--- a/packages/node/src/bronzepoint_node/policy/_limits.py
+++ b/packages/node/src/bronzepoint_node/policy/_limits.py
@@ -1,4 +1,4 @@
-"""Limits of owners, entries and classes that hold over all hosts of a region."""
+"""Limits of owners, entries and classes, shared by all hosts of a region."""
 
 import time
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import Area, PeerError, Peers
 from bronzepoint_node.policy._inputs import RequestView
-from bronzepoint_node.policy._limit_holder import HeldLimit
+from bronzepoint_node.policy._limit_allocation import LimitAllocation
 from bronzepoint_node.policy._local_limit import LimitKey, LocalLimit
 from bronzepoint_node.policy._outputs import Refused
 from bronzepoint_node.policy._rendezvous import ranked
@@ -35,17 +35,21 @@
 )
 from bronzepoint_schema.ids import EntryName, HostName, OwnerName
 
-_LIFETIME_PERIODS = 2.5
-_EARLY_GAP_PERIODS = 0.25
-_GRANT_WAIT = 0.2
-"""Longest wait, in seconds, of a request that would be refused by an old grant."""
-_QUIET = 0.1
-"""Part of the equal part below which a host's demand isn't reported. All hosts
-together let through no more than this part of the limit besides the grants."""
-_IDLE_AFTER = 10.0
-"""Seconds without requests after which a limit is no longer kept."""
+_GRANT_LIFETIME_PERIODS = 2.5
+"""Report periods for which a grant is valid."""
+_EARLY_REPORT_GAP_PERIODS = 0.25
+"""Report periods that must pass between two reports to one holder."""
+_EARLY_REPORT_TIMEOUT_SECONDS = 0.2
+"""Longest wait of a request for a new grant where the old one would refuse it."""
+_MIN_REPORTED_DEMAND = 0.1
+"""Share of a host's equal share below which its demand isn't reported. All hosts
+together admit at most this share of the limit in addition to the grants."""
+_IDLE_SECONDS = 10.0
+"""Time without requests after which the state of a limit is dropped."""
 _DEFAULT_MAX_TOKENS = 256
-_RETRY_IN_PROGRESS = 1.0
+"""Tokens charged for a request that doesn't set its own maximum."""
+_IN_PROGRESS_RETRY_SECONDS = 1.0
+"""Retry-after of a request refused because too many are in progress."""
 
 
 class RegionHosts(Struct):
@@ -53,31 +57,33 @@
 
     Attributes:
         live: hosts that can be reached.
-        known: those, and the ones that are suspect or dead but not forgotten.
+        known: live hosts, and suspect or dead ones that are still remembered.
     """
 
     live: list[HostName]
     known: list[HostName]
 
 
-class LimitValues(Protocol):
-    """Where the limits' values are looked up: the catalogue's view."""
+class LimitCatalogue(Protocol):
+    """The part of the catalogue that holds the values of limits."""
 
     def entry(self, name: EntryName) -> ModelEntry | ServiceEntry | None:
-        """Return an entry."""
+        """Return an entry; None: it does not exist."""
 
     def owner(self, name: OwnerName) -> OwnerItem | None:
-        """Return an organisation."""
+        """Return an organisation; None: it does not exist."""
 
     def class_item(self, cls: EntryClass) -> ClassItem | None:
-        """Return a class."""
+        """Return a class; None: it does not exist."""
 
 
 class LimitTicket(Struct):
-    """What a request has taken of its limits.
+    """What a request was charged against its limits.
 
     Attributes:
-        tokens: estimate that was charged.
+        keys: limits that were charged.
+        tokens: estimated tokens that were charged.
+        notes: lines for the decision record.
     """
 
     keys: list[LimitKey]
@@ -86,27 +92,28 @@
 
 
 class Limits:
-    """This host's part in the limits of its region.
+    """Enforces the limits of a region on one host.
 
-    Each limit has a holder among the region's hosts, found by rendezvous hash. A host
-    reports its demands to the holders once in a period, all limits of one holder in
-    one message, and gets a grant for each; in between it decides by itself. A host
-    without a grant has its equal part, the limit divided by the known hosts: where it
-    needs little, and where the holder can't be reached and the last grant has ended.
+    Each limit has a holder among the region's hosts, chosen by rendezvous hashing. A
+    host reports its demand to the holders once per period, with all limits of one
+    holder in one message, and gets a grant for each. Between reports it decides
+    locally. A host uses its equal share, the limit divided by the known hosts, while
+    its demand is too small to report, and when the holder is unreachable and the last
+    grant has expired.
 
-    Over a time T a region lets through at most 1.1 times the limit times (T + one
-    second of burst), and one request for each host: the tenth is what hosts use that
-    need too little to report it. When demand moves to other hosts, when holders
-    change, or when hosts can't reach a holder that believes them live, at most
-    another limit's worth is let through until the old grants have ended.
+    Over a time T a region admits at most 1.1 times the limit times (T + one second of
+    burst), plus one request per host. The extra tenth is used by hosts whose demand is
+    too small to report. When demand moves to other hosts, when holders change, or when
+    hosts can't reach a holder that considers them live, at most one more limit's worth
+    is admitted until the old grants have expired.
 
     Args:
         host: This host.
         peers: Messages to the region's other hosts.
-        values: The catalogue's view.
-        hosts: Returns the region's hosts as they are seen now.
+        values: Source of the values of limits.
+        hosts: Returns the region's current hosts.
         period: Seconds between two reports.
-        holders: Hosts that the limits are divided over.
+        holders: Number of hosts that act as holders of limits.
         metrics: Counts refusals, reports and expired grants.
         clock: Returns monotonic seconds.
     """
@@ -115,7 +122,7 @@
         self,
         host: HostName,
         peers: Peers,
-        values: LimitValues,
+        values: LimitCatalogue,
         hosts: Callable[[], RegionHosts],
         period: float,
         holders: int,
@@ -131,15 +138,15 @@
         self._metrics = metrics
         self._clock = clock
         self._local: dict[LimitKey, LocalLimit] = {}
-        self._held: dict[LimitKey, HeldLimit] = {}
-        self._asked: dict[HostName, float] = {}
+        self._held: dict[LimitKey, LimitAllocation] = {}
+        self._last_report_at: dict[HostName, float] = {}
         self._live: set[HostName] = set()
-        self._live_since = clock()
+        self._live_changed_at = clock()
         self._task: curio.Task | None = None
         peers.register(Area.LIMITS, LimitMessage, self._on_message)
 
     async def start(self) -> None:
-        """Begin to report demands."""
+        """Start reporting demand."""
         self._task = await curio.spawn(self._report_periodically)
 
     async def close(self) -> None:
@@ -149,57 +156,64 @@
             self._task = None
 
     async def acquire(self, request: RequestView) -> LimitTicket | Refused:
-        """Take a request's part of its limits, or say which one refuses it."""
+        """Charge a request against its limits, or return the refusal."""
         now = self._clock()
-        bounds = self._bounds(request)
-        if not bounds:
+        limits_by_key = self._limits_of_request(request)
+        if not limits_by_key:
             return LimitTicket([], 0.0)
         tokens = float(request.max_tokens or _DEFAULT_MAX_TOKENS)
-        for key in bounds:
-            self._local_limit(key).ask(tokens, now)
-        refused = self._take(bounds, tokens)
-        if refused is not None and self._may_ask_early(refused[0]):
-            # The demand may be newer than the grant: the rest may stand idle elsewhere.
-            await self._ask(self._holder(refused[0]), [refused[0]], _GRANT_WAIT)
-            refused = self._take(bounds, tokens)
+        for key in limits_by_key:
+            self._local_limit(key).record_demand(tokens, now)
+        refused = self._take(limits_by_key, tokens)
+        if refused is not None and self._may_report_early(refused[0]):
+            # The grant may predate this demand: other hosts may have left the rest
+            # of the limit unused.
+            await self._request_grants(
+                self._holder(refused[0]), [refused[0]], _EARLY_REPORT_TIMEOUT_SECONDS
+            )
+            refused = self._take(limits_by_key, tokens)
         if refused is None:
-            names = ", ".join(key.text() for key in bounds)
-            return LimitTicket(list(bounds), tokens, [f"limits: within {names}"])
+            names = ", ".join(key.text() for key in limits_by_key)
+            return LimitTicket(list(limits_by_key), tokens, [f"limits: within {names}"])
         return self._refusal(*refused, tokens)
 
     def release(self, ticket: LimitTicket, tokens: float) -> None:
-        """Give a request's part back, and correct the estimate of its tokens."""
+        """Release what a request was charged, and correct its token estimate."""
         now = self._clock()
         for key in ticket.keys:
             local = self._local.get(key)
             if local is not None:
-                local.leave(ticket.tokens - tokens, now)
+                local.end_request(ticket.tokens - tokens, now)
 
     async def report(self) -> None:
-        """Report all demands once, and take in the grants."""
-        self._forget_idle()
-        self._settled(self._hosts().live, 0.0, self._clock())
+        """Report all demand once, and apply the grants."""
+        self._drop_idle()
+        self._hosts_are_stable(self._hosts().live, 0.0, self._clock())
         by_holder: dict[HostName, list[LimitKey]] = {}
-        for key in self._busy():
+        for key in self._reportable_limits():
             by_holder.setdefault(self._holder(key), []).append(key)
         async with curio.TaskGroup() as tasks:
             for holder, keys in by_holder.items():
-                await tasks.spawn(self._ask, holder, keys, self._period)
+                await tasks.spawn(self._request_grants, holder, keys, self._period)
 
     def size(self) -> int:
-        """Return how many limits this host keeps now."""
+        """Return the number of limits that this host has state for."""
         return len(self._local)
 
-    def _bounds(self, request: RequestView) -> dict[LimitKey, catalogue.Limits]:
+    def _limits_of_request(
+        self, request: RequestView
+    ) -> dict[LimitKey, catalogue.Limits]:
         keys = [
             LimitKey(LimitScope.owner, request.owner),
             LimitKey(LimitScope.entry, request.entry),
             LimitKey(LimitScope.class_, request.entry_class),
         ]
-        bounds = {key: self._values_of(key) for key in keys}
-        return {key: limits for key, limits in bounds.items() if limits is not None}
+        limits_by_key = {key: self._limits_for(key) for key in keys}
+        return {
+            key: limits for key, limits in limits_by_key.items() if limits is not None
+        }
 
-    def _values_of(self, key: LimitKey) -> catalogue.Limits | None:
+    def _limits_for(self, key: LimitKey) -> catalogue.Limits | None:
         match key.scope:
             case LimitScope.owner:
                 item = self._values.owner(OwnerName(key.name))
@@ -223,18 +237,18 @@
         return local
 
     def _take(
-        self, bounds: dict[LimitKey, catalogue.Limits], tokens: float
+        self, limits_by_key: dict[LimitKey, catalogue.Limits], tokens: float
     ) -> tuple[LimitKey, RefusalKind] | None:
         now = self._clock()
         taken: list[LocalLimit] = []
-        for key, limits in bounds.items():
+        for key, limits in limits_by_key.items():
             local = self._local[key]
             if now >= local.until:
-                self._fall_back(local, limits, now)
-            kind = local.refusal(limits, tokens, now)
+                self._apply_equal_share(local, limits, now)
+            kind = local.try_take(limits, tokens, now)
             if kind is not None:
                 for earlier in taken:
-                    earlier.put_back(tokens, now)
+                    earlier.undo_take(tokens, now)
                 return key, kind
             taken.append(local)
         return None
@@ -248,7 +262,7 @@
             case RefusalKind.tokens_limited:
                 retry_after = local.tokens.seconds_until(tokens, now)
             case _:
-                retry_after = _RETRY_IN_PROGRESS
+                retry_after = _IN_PROGRESS_RETRY_SECONDS
         retry_after = max(0.1, retry_after)
         self._metrics.incr(f"limits.{kind}.{key.scope}")
         message = f"The limit of {key.scope} {key.name!r} is used up in this region."
@@ -259,10 +273,10 @@
         note = f"limits: {key.text()} refuses with {kind}"
         return Refused(kind, message, remedy, retry_after, reason=note, notes=[note])
 
-    def _fall_back(
+    def _apply_equal_share(
         self, local: LocalLimit, limits: catalogue.Limits, now: float
     ) -> None:
-        """Go on with the equal part, until the holder is heard again."""
+        """Use the equal share until the holder sends another grant."""
         known = ranked(local.key.text(), self._hosts().known)
         count = max(1, len(known))
         extra = limits.in_progress % count
@@ -272,60 +286,65 @@
             slots=limits.in_progress // count + (1 if rank < extra else 0),
             tokens=limits.tokens / count,
         )
-        local.apply(quota, now + self._period, False, now)
+        local.apply_quota(quota, now + self._period, False, now)
         self._metrics.incr("limits.equal_part")
 
     def _holder(self, key: LimitKey) -> HostName:
         live = ranked("limits", self._hosts().live)[: self._holders]
         return ranked(key.text(), live or [self._host])[0]
 
-    def _may_ask_early(self, key: LimitKey) -> bool:
-        last = self._asked.get(self._holder(key), 0.0)
-        return self._clock() - last >= _EARLY_GAP_PERIODS * self._period
+    def _may_report_early(self, key: LimitKey) -> bool:
+        last = self._last_report_at.get(self._holder(key), 0.0)
+        return self._clock() - last >= _EARLY_REPORT_GAP_PERIODS * self._period
 
     async def _report_periodically(self) -> None:
         while True:
             await curio.sleep(self._period)
             await self.report()
 
-    def _busy(self) -> list[LimitKey]:
-        """Return the limits whose demand here is worth a report.
+    def _reportable_limits(self) -> list[LimitKey]:
+        """Return the limits with enough demand on this host to be reported.
 
-        Most organisations send each host a request now and then. Were all of them
-        reported, the reports would grow with the organisations instead of the load.
+        Most organisations send each host only an occasional request. Reporting all
+        of them would make the reports grow with the number of organisations instead
+        of the load.
         """
         now = self._clock()
         known = max(1, len(self._hosts().known))
-        busy = []
+        reportable = []
         for key, local in self._local.items():
-            limits = self._values_of(key)
-            if limits is not None and local.busy(limits, _QUIET / known, now):
-                busy.append(key)
-        return busy
-
-    def _forget_idle(self) -> None:
+            limits = self._limits_for(key)
+            if limits is not None and local.has_demand_above(
+                limits, _MIN_REPORTED_DEMAND / known, now
+            ):
+                reportable.append(key)
+        return reportable
+
+    def _drop_idle(self) -> None:
         now = self._clock()
         idle = [
             key
             for key, local in self._local.items()
-            if local.in_use <= 0 and now - local.used > _IDLE_AFTER
+            if local.in_use <= 0 and now - local.used > _IDLE_SECONDS
         ]
         for key in idle:
             del self._local[key]
-        lapsed = [
+        expired = [
             key
             for key, held in self._held.items()
-            if all(share.until < now - _IDLE_AFTER for share in held.shares.values())
+            if all(
+                item.until < now - _IDLE_SECONDS for item in held.allocations.values()
+            )
         ]
-        for key in lapsed:
+        for key in expired:
             del self._held[key]
         self._metrics.gauge("limits.kept", len(self._local))
 
-    async def _ask(
+    async def _request_grants(
         self, holder: HostName, keys: list[LimitKey], timeout: float
     ) -> None:
         sent = self._clock()
-        self._asked[holder] = sent
+        self._last_report_at[holder] = sent
         items = [self._local[key].demand(sent) for key in keys]
         if holder == self._host:
             grants = self._grant(self._host, items)
@@ -341,7 +360,7 @@
         for item in grants.items:
             local = self._local.get(LimitKey(item.scope, item.name))
             if local is not None:
-                local.apply(item.quota, sent + grants.lifetime, True, now)
+                local.apply_quota(item.quota, sent + grants.lifetime, True, now)
 
     async def _on_message(
         self, sender: HostName, message: Demands | Grants
@@ -355,27 +374,29 @@
         now = self._clock()
         hosts = self._hosts()
         known = len(hosts.known)
-        silent = known - len(hosts.live)
-        lifetime = _LIFETIME_PERIODS * self._period
-        settled = self._settled(hosts.live, lifetime, now)
+        unreachable = known - len(hosts.live)
+        lifetime = _GRANT_LIFETIME_PERIODS * self._period
+        stable = self._hosts_are_stable(hosts.live, lifetime, now)
         grants: list[LimitGrant] = []
         for item in items:
             key = LimitKey(item.scope, item.name)
-            limits = self._values_of(key)
+            limits = self._limits_for(key)
             if limits is None:
                 continue
-            held = self._held.setdefault(key, HeldLimit())
+            held = self._held.setdefault(key, LimitAllocation())
             quota = held.grant(
-                host, item, limits, silent, known, settled, lifetime, now
+                host, item, limits, unreachable, known, stable, lifetime, now
             )
             grants.append(LimitGrant(item.scope, item.name, quota))
         return Grants(lifetime, grants)
 
-    def _settled(self, live: list[HostName], lifetime: float, now: float) -> bool:
+    def _hosts_are_stable(
+        self, live: list[HostName], lifetime: float, now: float
+    ) -> bool:
         if self._live != set(live):
             self._live = set(live)
-            self._live_since = now
-        return now - self._live_since >= lifetime
+            self._live_changed_at = now
+        return now - self._live_changed_at >= lifetime
 
 
-__all__ = ["LimitTicket", "LimitValues", "Limits", "RegionHosts"]
+__all__ = ["LimitCatalogue", "LimitTicket", "Limits", "RegionHosts"]
--- a/packages/node/src/bronzepoint_node/policy/_local_limit.py
+++ b/packages/node/src/bronzepoint_node/policy/_local_limit.py
@@ -1,4 +1,4 @@
-"""One limit, as a host keeps it between two grants."""
+"""State of one limit on one host between two grants."""
 
 import math
 
@@ -9,12 +9,12 @@
 from bronzepoint_schema.generated.decisions import RefusalKind
 from bronzepoint_schema.generated.limits import LimitDemand, LimitScope, Quota
 
-_DEMAND_MEMORY = 1.0
-"""Seconds after which an asking counts for a third in the demand."""
+_DEMAND_DECAY_SECONDS = 1.0
+"""Time after which a request counts for about a third (1/e) in the demand."""
 
 
 class LimitKey(Struct, frozen=True):
-    """Names one limit."""
+    """Identifies one limit."""
 
     scope: LimitScope
     name: str
@@ -25,16 +25,20 @@
 
 
 class LocalLimit(Struct):
-    """A host's part of one limit, and what it would need.
+    """A host's share of one limit, and its demand.
 
     Attributes:
-        until: monotonic seconds at which the quota ends; 0: there was none yet.
-        granted: True for a grant of the holder, False for the equal part.
+        quota: share that this host may use.
+        requests: token bucket of the request rate.
+        tokens: token bucket of the token rate.
+        until: monotonic seconds at which the quota expires; 0: there was none yet.
+        granted: True for a grant of the holder, False for the equal share.
         in_use: requests in progress that count against it.
-        asked: demands of the last second or so, refused ones included.
+        asked: exponentially decayed count of requests, refused ones included.
         asked_tokens: the same, in tokens.
-        denied: requests refused of late for want of slots.
-        decayed: monotonic seconds up to which those have been faded.
+        denied: decayed count of requests refused because no slot was left.
+        decayed: monotonic seconds up to which the decay has been applied.
+        used: monotonic seconds of the last request.
     """
 
     key: LimitKey
@@ -50,15 +54,15 @@
     decayed: float = 0.0
     used: float = 0.0
 
-    def ask(self, amount: float, now: float) -> None:
-        """Count one request's demand, before it is known whether it may start."""
-        self._fade(now)
+    def record_demand(self, tokens: float, now: float) -> None:
+        """Count one request as demand, whether or not it is then admitted."""
+        self._decay_demand(now)
         self.asked += 1
-        self.asked_tokens += amount
+        self.asked_tokens += tokens
         self.used = now
 
-    def refusal(self, limits: Limits, tokens: float, now: float) -> RefusalKind | None:
-        """Take one request's part; or return what refuses it, with nothing taken."""
+    def try_take(self, limits: Limits, tokens: float, now: float) -> RefusalKind | None:
+        """Charge one request; where a bound refuses it, return the reason instead."""
         if limits.in_progress > 0 and self.in_use >= self.quota.slots:
             self.denied = min(self.denied + 1, limits.in_progress)
             return RefusalKind.in_progress_limited
@@ -71,21 +75,23 @@
         self.in_use += 1
         return None
 
-    def put_back(self, tokens: float, now: float) -> None:
-        """Undo a taken part, since another limit refused the request."""
+    def undo_take(self, tokens: float, now: float) -> None:
+        """Undo the charge of a request that another limit refused."""
         self.in_use -= 1
         self.requests.give_back(1, now)
         self.tokens.give_back(tokens, now)
 
-    def leave(self, unused_tokens: float, now: float) -> None:
-        """Note that a request has ended, and correct the estimate of its tokens."""
+    def end_request(self, unused_tokens: float, now: float) -> None:
+        """Count the end of a request, and correct its token estimate."""
         self.in_use -= 1
         self.tokens.give_back(unused_tokens, now)
 
-    def apply(self, quota: Quota, until: float, granted: bool, now: float) -> None:
-        """Go on with another grant, or with the equal part."""
+    def apply_quota(
+        self, quota: Quota, until: float, granted: bool, now: float
+    ) -> None:
+        """Replace the quota by another grant, or by the equal share."""
         if self.until == 0.0:
-            # A bucket begins full, or a first caller after a pause would be refused.
+            # A bucket starts full, or the first caller after a pause would be refused.
             self.requests = TokenBucket(quota.rate, max(1.0, quota.rate * BURST), now)
             self.tokens = TokenBucket(quota.tokens, max(1.0, quota.tokens * BURST), now)
         self.quota = quota
@@ -94,29 +100,29 @@
         self.requests.set_rate(quota.rate, now)
         self.tokens.set_rate(quota.tokens, now)
 
-    def busy(self, limits: Limits, part: float, now: float) -> bool:
-        """Return whether the demand is above a part of any bound."""
-        self._fade(now)
+    def has_demand_above(self, limits: Limits, fraction: float, now: float) -> bool:
+        """Return whether the demand is above a fraction of any bound."""
+        self._decay_demand(now)
         return (
-            (limits.rate > 0 and self.asked > part * limits.rate)
-            or (limits.tokens > 0 and self.asked_tokens > part * limits.tokens)
-            or (limits.in_progress > 0 and self.in_use > part * limits.in_progress)
+            (limits.rate > 0 and self.asked > fraction * limits.rate)
+            or (limits.tokens > 0 and self.asked_tokens > fraction * limits.tokens)
+            or (limits.in_progress > 0 and self.in_use > fraction * limits.in_progress)
             or self.denied > 0.2
         )
 
     def demand(self, now: float) -> LimitDemand:
-        """Return what to report to the holder."""
-        self._fade(now)
+        """Return the demand to report to the holder."""
+        self._decay_demand(now)
         wanted = Quota(
-            rate=round(self.asked / _DEMAND_MEMORY, 2),
+            rate=round(self.asked / _DEMAND_DECAY_SECONDS, 2),
             slots=self.in_use + math.ceil(self.denied - 0.2),
-            tokens=round(self.asked_tokens / _DEMAND_MEMORY, 1),
+            tokens=round(self.asked_tokens / _DEMAND_DECAY_SECONDS, 1),
         )
         held = self.quota if self.granted and now < self.until else Quota()
         return LimitDemand(self.key.scope, self.key.name, wanted, held, self.in_use)
 
-    def _fade(self, now: float) -> None:
-        kept = math.exp((self.decayed - now) / _DEMAND_MEMORY)
+    def _decay_demand(self, now: float) -> None:
+        kept = math.exp((self.decayed - now) / _DEMAND_DECAY_SECONDS)
         self.asked *= kept
         self.asked_tokens *= kept
         self.denied *= kept
--- a/packages/node/src/bronzepoint_node/policy/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/policy/_other_regions.py
@@ -1,4 +1,4 @@
-"""What this host has learned of other regions by sending requests there."""
+"""Evaluation of other regions by their summaries and by forwarded requests."""
 
 from random import Random
 
@@ -7,10 +7,10 @@
 from bronzepoint_node.policy._choose_region import (
     RegionTerms,
     away_terms,
-    region_excluded,
+    region_exclusion,
 )
 from bronzepoint_node.policy._inputs import RegionView, RequestView
-from bronzepoint_node.policy._sent_away import SentAway
+from bronzepoint_node.policy._recent_forwards import RecentForwards
 from bronzepoint_node.policy._service_times import ServiceTimes
 from bronzepoint_node.policy._warm_prefixes import WarmPrefixes
 from bronzepoint_schema.generated.decisions import (
@@ -20,28 +20,28 @@
 )
 from bronzepoint_schema.ids import EntryName, RegionName
 
-_SILENCE_PAUSE = 2.0
-"""Least pause, in seconds, after a forwarded request was given up without an answer."""
+_TIMEOUT_PAUSE_SECONDS = 2.0
+"""Shortest pause of a region after a forwarded request got no answer in time."""
 
 
 class OtherRegions:
-    """Weighs other regions by their summaries and by what became of earlier requests.
+    """Evaluates other regions by their summaries and by earlier forwarded requests.
 
     Args:
-        home: This host's region.
+        own_region: This host's region.
         rng: Source of the random lengths of pauses.
         metrics: Counts regions that refused or didn't answer.
     """
 
-    def __init__(self, home: RegionName, rng: Random, metrics: Metrics) -> None:
-        self._home = home
+    def __init__(self, own_region: RegionName, rng: Random, metrics: Metrics) -> None:
+        self._own_region = own_region
         self._rng = rng
         self._metrics = metrics
         self._backoffs: dict[tuple[EntryName, RegionName], RegionBackoff] = {}
-        self._sent = SentAway()
+        self._forwarded = RecentForwards()
         self._warm = WarmPrefixes()
 
-    def weigh(
+    def evaluate(
         self,
         request: RequestView,
         views: list[RegionView],
@@ -49,59 +49,66 @@
         hosts: int,
         now: float,
     ) -> tuple[list[RegionTerms], list[Candidate]]:
-        """Return the terms of the regions that may serve it, and those ruled out.
+        """Return estimates for the regions that may serve a request, and the others.
 
         Args:
-            request: What is to be placed.
+            request: The request to place.
             views: Summaries of all regions.
-            times: What is known of the entry's durations.
-            hosts: Live hosts of the home region: each is taken to have sent as much
-                to another region as this one.
+            times: Estimated durations of the entry's requests.
+            hosts: Number of live hosts of this region; each is assumed to have
+                forwarded as many requests as this one.
             now: Monotonic seconds.
+
+        Returns:
+            Estimates for the allowed regions, and the excluded ones as candidates.
         """
-        terms: list[RegionTerms] = []
-        ruled_out: list[Candidate] = []
+        estimates: list[RegionTerms] = []
+        excluded_regions: list[Candidate] = []
         for view in views:
-            if view.name == self._home:
+            if view.name == self._own_region:
                 continue
-            excluded = region_excluded(view, request, self._home)
+            excluded = region_exclusion(view, request, self._own_region)
             if excluded is not None:
-                ruled_out.append(Candidate(view.name, view.name, 0, excluded))
+                excluded_regions.append(Candidate(view.name, view.name, 0, excluded))
                 continue
             backoff = self._backoffs.get((request.entry, view.name))
-            if backoff is not None and backoff.paused(now):
+            if backoff is not None and backoff.is_paused(now):
                 full = ExclusionReason.full
-                detail = "refused a request, or did not answer, a moment ago"
-                ruled_out.append(Candidate(view.name, view.name, 0, full, detail))
+                detail = "recently refused a request or did not answer"
+                excluded_regions.append(
+                    Candidate(view.name, view.name, 0, full, detail)
+                )
                 continue
-            sent = self._sent.since(request.entry, view.name, now - view.age)
+            forwards = self._forwarded.count_since(
+                request.entry, view.name, now - view.age
+            )
             warm = self._warm.warm_share(view.name, request.prefix_hashes, now)
-            terms.append(away_terms(view, request, times, sent * hosts, warm))
-        return terms, ruled_out
+            estimates.append(away_terms(view, request, times, forwards * hosts, warm))
+        return estimates, excluded_regions
 
-    def sent(self, entry: EntryName, region: RegionName, now: float) -> None:
-        """Note that a request was forwarded."""
-        self._sent.add(entry, region, now)
+    def record_sent(self, entry: EntryName, region: RegionName, now: float) -> None:
+        """Record that a request was forwarded."""
+        self._forwarded.add(entry, region, now)
         backoff = self._backoffs.get((entry, region))
         if backoff is not None:
-            backoff.sent(now)
+            backoff.record_sent(now)
 
-    def ended(
+    def record_end(
         self, request: RequestView, region: RegionName, result: TryResult, now: float
     ) -> None:
-        """Learn from the end of a forwarded request."""
+        """Record the result of a forwarded request."""
         backoff = self._backoffs.setdefault((request.entry, region), RegionBackoff())
         match result:
             case TryResult.answered:
-                backoff.answered()
+                backoff.record_answer()
                 self._warm.add(region, request.prefix_hashes, now)
             case TryResult.cancelled:
                 return
             case TryResult.timeout:
-                backoff.refused(now, self._rng, _SILENCE_PAUSE)
+                backoff.record_refusal(now, self._rng, _TIMEOUT_PAUSE_SECONDS)
                 self._metrics.incr("away.silent")
             case _:
-                backoff.refused(now, self._rng)
+                backoff.record_refusal(now, self._rng)
                 self._metrics.incr("away.refused")
 
 
--- a/packages/node/src/bronzepoint_node/policy/_outputs.py
+++ b/packages/node/src/bronzepoint_node/policy/_outputs.py
@@ -1,4 +1,4 @@
-"""What the policy answers, ready to be put into a decision record."""
+"""Results of the policy, with what a decision record needs."""
 
 from msgspec import Struct, field
 
@@ -8,13 +8,13 @@
 
 
 class TargetChoice(Struct):
-    """A target of this region, or none.
+    """The choice of a target in this region.
 
     Attributes:
-        target: the chosen one; None: none has room, or none may be used.
-        usable: targets that are ready and not tried, whether or not they have room.
-        expected: seconds until the first token at the chosen target.
-        wait: the part of it in the target's own line.
+        target: the chosen one; None: none has free capacity, or none may be used.
+        usable: number of targets that are ready and not tried, full ones included.
+        expected: expected seconds until the first token at the chosen target.
+        wait: the part of it spent in the target's own queue.
     """
 
     target: TargetView | None
@@ -26,11 +26,11 @@
 
 
 class RegionChoice(Struct):
-    """Home or another region, or none.
+    """The choice of a region.
 
     Attributes:
         region: the chosen one; None: no allowed region can serve the entry.
-        expected: seconds until the first token there.
+        expected: expected seconds until the first token there.
     """
 
     region: RegionName | None
@@ -40,7 +40,7 @@
 
 
 class Home(Struct):
-    """Serve it here, at this target."""
+    """Serve the request at this target of this region."""
 
     target: TargetView
     candidates: list[Candidate]
@@ -49,11 +49,11 @@
 
 
 class Away(Struct):
-    """Forward it to a host of another region.
+    """Forward the request to a host of another region.
 
     Attributes:
-        patience: seconds to wait for the head of the answer before the try is given
-            up; 0: until the deadline, for what may not run twice.
+        patience: longest wait in seconds for the head of the answer; 0: until the
+            deadline, for a request that must not run twice.
     """
 
     region: RegionName
@@ -64,10 +64,10 @@
 
 
 class Refused(Struct):
-    """Answer it at once with this refusal; it has not run.
+    """Refuse the request, which has not run.
 
     Attributes:
-        retry_after: seconds until another try makes sense; 0: no use in retrying.
+        retry_after: seconds after which a retry may succeed; 0: retrying won't help.
     """
 
     kind: RefusalKind
--- a/packages/node/src/bronzepoint_node/policy/_policy.py
+++ b/packages/node/src/bronzepoint_node/policy/_policy.py
@@ -1,4 +1,4 @@
-"""Where a request goes: the decisions, in their order, for one host."""
+"""Placement of requests on one host: limits, admission, region, target, retries."""
 
 import os
 import time
@@ -12,14 +12,14 @@
 from bronzepoint_node.policy._choose_region import (
     RegionTerms,
     choose_region,
-    serves,
+    residency_allows,
 )
 from bronzepoint_node.policy._choose_target import choose_target
-from bronzepoint_node.policy._entry_state import EntryState
+from bronzepoint_node.policy._entry_estimates import EntryEstimates
 from bronzepoint_node.policy._inputs import RegionView, RequestView, TargetView
 from bronzepoint_node.policy._limits import (
+    LimitCatalogue,
     Limits,
-    LimitValues,
     RegionHosts,
 )
 from bronzepoint_node.policy._other_regions import OtherRegions
@@ -30,7 +30,7 @@
     Refused,
     TargetChoice,
 )
-from bronzepoint_node.policy._ramp import AwayRamp
+from bronzepoint_node.policy._ramp import ForwardRamp
 from bronzepoint_node.policy._refusals import no_region, no_target
 from bronzepoint_node.policy._retry_budget import RetryBudget, safe_to_retry
 from bronzepoint_node.policy._service_times import ServiceTimes
@@ -43,16 +43,16 @@
 from bronzepoint_schema.generated.settings import PolicyChoice, PolicySection
 from bronzepoint_schema.ids import EntryName, HostName, RegionName
 
-Targets = Callable[[], list[TargetView]]
-"""Returns the entry's targets in this region, as they are seen now."""
-Regions = Callable[[], list[RegionView]]
-"""Returns what is known of the entry in each region, this one included."""
+ListTargets = Callable[[], list[TargetView]]
+"""Returns the current views of the entry's targets in this region."""
+ListRegions = Callable[[], list[RegionView]]
+"""Returns the current views of the entry in each region, this one included."""
 
 
-_PATIENCE = 1.0
-"""Seconds beyond the expected time after which a forwarded request counts as lost. A
-cut link is silent: without this, requests that were sent over it before the region is
-seen to be unreachable would all hang until their deadlines."""
+_FORWARD_WAIT_MARGIN_SECONDS = 1.0
+"""Time beyond the expected one after which a forwarded request counts as lost. Over a
+partitioned link no error arrives: without this, requests that were forwarded before the
+region is seen to be unreachable would all hang until their deadlines."""
 
 
 class Policy:
@@ -60,12 +60,12 @@
 
     Args:
         host: This host.
-        region: Its region.
+        region: This host's region.
         settings: The [policy] section.
         peers: Messages to the other hosts, for the limits.
-        metrics: Counts every decision that refuses, waits or sends away.
-        values: The catalogue's view, for the limits' values.
-        hosts: Returns the region's hosts as they are seen now.
+        metrics: Counts placements, waits, refusals and retries.
+        values: Source of the values of limits.
+        hosts: Returns the region's current hosts.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         settings: PolicySection,
         peers: Peers,
         metrics: Metrics,
-        values: LimitValues,
+        values: LimitCatalogue,
         hosts: Callable[[], RegionHosts],
     ) -> None:
         self._region = region
@@ -93,15 +93,15 @@
             metrics,
         )
         self._admission = Admission(settings.queue_limit, metrics)
-        self._budget = RetryBudget(settings.retry_share)
+        self._retry_budget = RetryBudget(settings.retry_share)
         self._baseline: Baseline | None = None
         if settings.choice is not PolicyChoice.policy:
             self._baseline = Baseline(settings.choice, region, self._rng)
-        self._entries: dict[EntryName, EntryState] = {}
-        self._others = OtherRegions(region, self._rng, metrics)
+        self._estimates: dict[EntryName, EntryEstimates] = {}
+        self._other_regions = OtherRegions(region, self._rng, metrics)
 
     async def start(self) -> None:
-        """Begin to report demands to the holders of limits."""
+        """Start reporting demand to the holders of limits."""
         await self._limits.start()
 
     async def close(self) -> None:
@@ -109,21 +109,21 @@
         await self._limits.close()
 
     async def enter(self, request: RequestView) -> Ticket | Refused:
-        """Count a request against its limits. Each ticket must be left once."""
-        taken = await self._limits.acquire(request)
-        match taken:
+        """Charge a request to its limits; call `leave` once for each ticket."""
+        charged = await self._limits.acquire(request)
+        match charged:
             case Refused():
-                return taken
+                return charged
         deadline = time.monotonic() + request.deadline_left
-        return Ticket(request, taken, deadline, notes=list(taken.notes))
+        return Ticket(request, charged, deadline, notes=list(charged.notes))
 
     async def place(
-        self, ticket: Ticket, targets: Targets, regions: Regions
+        self, ticket: Ticket, targets: ListTargets, regions: ListRegions
     ) -> Placement:
         """Choose where a request goes; may wait for a free target.
 
-        After `Home`, count the request at its target before anything is awaited, or
-        other requests are placed by the old counts.
+        After `Home`, count the request at its target before awaiting anything;
+        otherwise other requests are placed by the old counts.
         """
         request = ticket.request
         request.deadline_left = ticket.deadline - time.monotonic()
@@ -132,20 +132,20 @@
         if self._baseline is not None:
             placed: Placement = self._baseline.place(request, views, regions())
         else:
-            state = self._entry(request.entry)
-            state.pool = ticket.pool
+            estimates = self._estimates_for(request.entry)
+            estimates.pool = ticket.pool
 
-            def look(ahead: float) -> Placement | None:
-                return self._look(ticket, ahead, targets(), regions())
+            def try_place(ahead: float) -> Placement | None:
+                return self._try_place(ticket, ahead, targets(), regions())
 
             placed = await self._admission.admit(
                 request,
                 ticket.pool,
-                look,
-                lambda: state.drain(len(self._hosts().live)),
-                self._service(ticket),
+                try_place,
+                lambda: estimates.start_interval(len(self._hosts().live)),
+                self._first_token_time(ticket),
             )
-        self._count(ticket, placed)
+        self._record_placement(ticket, placed)
         placed.notes = [*ticket.notes, *placed.notes]
         return placed
 
@@ -156,7 +156,7 @@
         result: TryResult,
         first_token: float | None,
     ) -> None:
-        """Learn from one try.
+        """Update the estimates from one finished try.
 
         Args:
             ticket: The request.
@@ -166,26 +166,28 @@
         """
         request = ticket.request
         now = time.monotonic()
-        state = self._entry(request.entry)
+        estimates = self._estimates_for(request.entry)
         match placed:
             case Home(target):
                 if result is TryResult.timeout:
-                    # It took at least so long: the target is learned to be slow.
+                    # The elapsed time is a lower bound that marks the target as slow.
                     first_token = now - ticket.placed_at
                 if first_token is not None:
                     cached = min(target.cached_tokens, request.prompt_tokens)
-                    own = max(0.001, first_token - ticket.expected_wait)
+                    service_time = max(0.001, first_token - ticket.expected_wait)
                     uncached = request.prompt_tokens - cached
-                    state.times.add_first_token(target.name, own, uncached, now)
+                    estimates.times.add_first_token(
+                        target.name, service_time, uncached, now
+                    )
                 if result is TryResult.answered:
-                    slowness = state.times.slowness(target.name, now)
-                    state.times.add_hold((now - ticket.placed_at) / slowness)
-                    self._budget.answered(request.entry, self._region)
-                await self._free_slot(ticket)
+                    slowness = estimates.times.slowness(target.name, now)
+                    estimates.times.add_hold((now - ticket.placed_at) / slowness)
+                    self._retry_budget.answered(request.entry, self._region)
+                await self._release_slot(ticket)
             case Away(region):
                 if result is TryResult.answered:
-                    self._budget.answered(request.entry, region)
-                self._others.ended(request, region, result, now)
+                    self._retry_budget.answered(request.entry, region)
+                self._other_regions.record_end(request, region, result, now)
 
     def may_retry(
         self, ticket: Ticket, reason: RetryReason, region: RegionName | None = None
@@ -195,45 +197,47 @@
         Args:
             ticket: The request.
             reason: Why the try failed.
-            region: Where it failed; None: here.
+            region: Where it failed; None: in this region.
         """
         request = ticket.request
         if not safe_to_retry(reason, request.idempotent):
             self._metrics.incr("retry.unsafe")
             return False
-        if not self._budget.take(request.entry, region or self._region, reason):
+        if not self._retry_budget.take(request.entry, region or self._region, reason):
             self._metrics.incr("retry.no_budget")
             return False
         self._metrics.incr(f"retry.{reason}")
         return True
 
     async def leave(self, ticket: Ticket, answered: bool, tokens: int) -> None:
-        """Give back what a request has taken; once for each ticket.
+        """Release what a request was charged; call once for each ticket.
 
         Args:
             ticket: The request.
             answered: Whether the caller got the whole answer.
-            tokens: Tokens that were generated.
+            tokens: Number of generated tokens.
         """
         self._limits.release(ticket.limits, tokens)
-        # A request that is cancelled during a try never reports the try's end.
-        await self._free_slot(ticket)
+        # For a request cancelled during a try, `try_ended` isn't called.
+        await self._release_slot(ticket)
 
-    async def _free_slot(self, ticket: Ticket) -> None:
+    async def _release_slot(self, ticket: Ticket) -> None:
         if ticket.holds_slot:
             ticket.holds_slot = False
             await self._admission.ended(ticket.pool, ticket.request.owner)
 
     def queued(self, entry: EntryName) -> int:
-        """Return how many requests of an entry wait at this host."""
+        """Return the number of requests of an entry queued on this host."""
         return self._admission.queued(entry)
 
     def expected_wait(self, entry: EntryName) -> float:
-        """Return the seconds that a new request of an entry would wait here."""
-        state = self._entry(entry)
-        return self._admission.length(state.pool) * state.drain(len(self._hosts().live))
+        """Return the seconds for which a new request of an entry would wait here."""
+        estimates = self._estimates_for(entry)
+        return self._admission.length(estimates.pool) * estimates.start_interval(
+            len(self._hosts().live)
+        )
 
-    def _look(
+    def _try_place(
         self,
         ticket: Ticket,
         ahead: float,
@@ -241,50 +245,54 @@
         regions: list[RegionView],
     ) -> Placement | None:
         request = ticket.request
-        state = self._entry(request.entry)
+        estimates = self._estimates_for(request.entry)
         now = time.monotonic()
-        left = ticket.deadline - now
+        time_left = ticket.deadline - now
         choice = choose_target(
             request,
             views,
-            state.times,
+            estimates.times,
             len(self._hosts().live),
             self._settings.report_memory,
             self._rng,
             now,
         )
-        state.note_slots(views, choice, now)
+        estimates.update_slots(views, choice, now)
         if request.forwarded:
-            return self._at_home(ticket, choice, ahead, [], "sent by its home region")
-        here = self._here(ticket, ahead, state, choice, regions, views)
-        away, ruled_out = self._others.weigh(
-            request, regions, state.times, len(self._hosts().live), now
+            return self._place_locally(
+                ticket, choice, ahead, [], "sent by its home region"
+            )
+        local = self._local_estimate(ticket, ahead, estimates, choice, regions, views)
+        remote, excluded_regions = self._other_regions.evaluate(
+            request, regions, estimates.times, len(self._hosts().live), now
         )
         decided = choose_region(
             request,
-            left,
-            here,
-            away,
-            state.ramp,
+            time_left,
+            local,
+            remote,
+            estimates.ramp,
             self._settings.hysteresis,
             self._rng,
             now,
         )
-        candidates = [*decided.candidates, *ruled_out]
+        candidates = [*decided.candidates, *excluded_regions]
         if decided.region is None:
             candidates += choice.candidates
-            if serves(request, self._region):
+            if residency_allows(request, self._region):
                 return no_target(request, candidates)
             return no_region(request, candidates)
         if decided.region == self._region:
-            return self._at_home(ticket, choice, ahead, candidates, decided.reason)
+            return self._place_locally(
+                ticket, choice, ahead, candidates, decided.reason
+            )
         candidates += choice.candidates
-        patience = _PATIENCE + decided.expected
+        max_wait = _FORWARD_WAIT_MARGIN_SECONDS + decided.expected
         if not request.idempotent:
-            patience = 0.0
-        return Away(decided.region, candidates, decided.reason, [], patience)
+            max_wait = 0.0
+        return Away(decided.region, candidates, decided.reason, [], max_wait)
 
-    def _at_home(
+    def _place_locally(
         self,
         ticket: Ticket,
         choice: TargetChoice,
@@ -301,29 +309,33 @@
             return no_target(ticket.request, candidates)
         return None
 
-    def _here(
+    def _local_estimate(
         self,
         ticket: Ticket,
         ahead: float,
-        state: EntryState,
+        estimates: EntryEstimates,
         choice: TargetChoice,
         regions: list[RegionView],
         views: list[TargetView],
     ) -> RegionTerms | None:
         request = ticket.request
-        if choice.usable == 0 or not serves(request, self._region):
+        if choice.usable == 0 or not residency_allows(request, self._region):
             return None
-        found = [view for view in regions if view.name == self._region]
-        view = found[0] if found else RegionView(self._region, slots=round(state.slots))
+        matching = [view for view in regions if view.name == self._region]
+        view = (
+            matching[0]
+            if matching
+            else RegionView(self._region, slots=round(estimates.slots))
+        )
         if choice.target is not None and ahead < 1:
-            cost = choice.target.cost * state.times.hold
+            cost = choice.target.cost * estimates.times.hold
             return RegionTerms(view, choice.expected, cost)
-        delay = (ahead + 1) * state.drain(len(self._hosts().live))
-        delay += state.times.first_token(request.prompt_tokens)
-        cost = min(target.cost for target in views) * state.times.hold
+        delay = (ahead + 1) * estimates.start_interval(len(self._hosts().live))
+        delay += estimates.times.first_token(request.prompt_tokens)
+        cost = min(target.cost for target in views) * estimates.times.hold
         return RegionTerms(view, delay, cost)
 
-    def _count(self, ticket: Ticket, placed: Placement) -> None:
+    def _record_placement(self, ticket: Ticket, placed: Placement) -> None:
         request = ticket.request
         ticket.placed_at = time.monotonic()
         match placed:
@@ -332,21 +344,21 @@
                 self._admission.started(ticket.pool, request.owner)
                 self._metrics.incr("placed.home")
             case Away(region):
-                self._others.sent(request.entry, region, ticket.placed_at)
+                self._other_regions.record_sent(request.entry, region, ticket.placed_at)
                 self._metrics.incr("placed.away")
             case Refused(kind):
                 self._metrics.incr(f"placed.refused.{kind}")
 
-    def _service(self, ticket: Ticket) -> float:
-        times = self._entry(ticket.request.entry).times
+    def _first_token_time(self, ticket: Ticket) -> float:
+        times = self._estimates_for(ticket.request.entry).times
         return times.first_token(0)
 
-    def _entry(self, entry: EntryName) -> EntryState:
-        state = self._entries.get(entry)
-        if state is None:
-            ramp = AwayRamp(self._settings.away_step)
-            state = self._entries[entry] = EntryState(ServiceTimes(), ramp)
-        return state
+    def _estimates_for(self, entry: EntryName) -> EntryEstimates:
+        estimates = self._estimates.get(entry)
+        if estimates is None:
+            ramp = ForwardRamp(self._settings.away_step)
+            estimates = self._estimates[entry] = EntryEstimates(ServiceTimes(), ramp)
+        return estimates
 
 
-__all__ = ["Policy", "Regions", "Targets", "Ticket"]
+__all__ = ["ListRegions", "ListTargets", "Policy", "Ticket"]
--- a/packages/node/src/bronzepoint_node/policy/_rendezvous.py
+++ b/packages/node/src/bronzepoint_node/policy/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Choice by hash, the same on every host that knows the same names."""
+"""Rendezvous hashing: the same order on every host that knows the same names."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -9,9 +9,9 @@
 
 
 def ranked(key: str, names: Iterable[Name]) -> list[Name]:
-    """Return the names in the key's own order.
+    """Return the names in the rendezvous order of a key.
 
-    A name that goes takes only its own keys along; the others stay where they are.
+    When a name is removed, only the keys that ranked it first move to another one.
     """
     return sorted(
         names,
--- a/packages/node/src/bronzepoint_node/policy/_retry_budget.py
+++ b/packages/node/src/bronzepoint_node/policy/_retry_budget.py
@@ -1,13 +1,15 @@
-"""Which tries may be repeated, and how many in all."""
+"""Which failed tries may be repeated, and the budget for them."""
 
 from msgspec import Struct
 
 from bronzepoint_schema.generated.decisions import RetryReason
 from bronzepoint_schema.ids import EntryName, RegionName
 
-_MOST = 20.0
-"""Retries that may be saved up, so that a quiet hour buys no storm."""
-_FIRST = 5.0
+_MAX_SAVED_RETRIES = 20.0
+"""Number of retries that a budget accumulates at most. Without a bound, a long time
+without failures would allow a storm of retries."""
+_INITIAL_RETRIES = 5.0
+"""Number of retries in a new budget."""
 _NOT_RUN = frozenset(
     {
         RetryReason.connect_failed,
@@ -17,28 +19,29 @@
         RetryReason.stale_connection,
     }
 )
-"""Reasons that say for certain that the request did not run."""
+"""Reasons that prove that the request did not run."""
 
 
-_FREE = _NOT_RUN - {RetryReason.target_overloaded}
-"""Reasons whose failed try cost a target nothing; each request has few tries."""
+_NOT_COUNTED = _NOT_RUN - {RetryReason.target_overloaded}
+"""Reasons whose failed try put no load on a target. They need no budget, since the
+number of tries of a request is bounded."""
 
 
 class _Bucket(Struct):
-    tokens: float = _FIRST
+    tokens: float = _INITIAL_RETRIES
 
 
 def safe_to_retry(reason: RetryReason, idempotent: bool) -> bool:
-    """Return whether a request can't run twice by being tried again."""
+    """Return whether a retry is safe: it can't run a non-idempotent request twice."""
     return idempotent or reason in _NOT_RUN
 
 
 class RetryBudget:
-    """Lets retries be no more than a share of the requests that were answered.
+    """Limits retries to a share of the answered requests, by entry and region.
 
-    A region that fails answers little, so its retries soon end. Without a budget each
-    request would be tried at several targets, and the region would get a multiple of
-    its load just when it can carry less.
+    A failing region answers few requests, so its retries soon end. Without a budget
+    each request would be tried at several targets, and the region would get a multiple
+    of its load while its capacity is reduced.
 
     Args:
         share: Retries allowed for each answered request.
@@ -49,13 +52,13 @@
         self._buckets: dict[tuple[EntryName, RegionName], _Bucket] = {}
 
     def answered(self, entry: EntryName, region: RegionName) -> None:
-        """Note an answered request."""
+        """Record an answered request."""
         bucket = self._bucket(entry, region)
-        bucket.tokens = min(_MOST, bucket.tokens + self._share)
+        bucket.tokens = min(_MAX_SAVED_RETRIES, bucket.tokens + self._share)
 
     def take(self, entry: EntryName, region: RegionName, reason: RetryReason) -> bool:
-        """Take one retry out of the budget; False where it is used up."""
-        if reason in _FREE:
+        """Take one retry from the budget; return False where it is used up."""
+        if reason in _NOT_COUNTED:
             return True
         bucket = self._bucket(entry, region)
         if bucket.tokens < 1:
--- a/packages/node/src/bronzepoint_node/policy/_service_times.py
+++ b/packages/node/src/bronzepoint_node/policy/_service_times.py
@@ -1,4 +1,4 @@
-"""How long requests of an entry take, and which of its targets are slow."""
+"""Running estimates of request durations and of the slowness of targets."""
 
 import math
 
@@ -6,18 +6,21 @@
 
 from bronzepoint_schema.ids import TargetName
 
-_KEPT = 0.98
-"""Weight that the older samples keep, at each new one."""
-_KEPT_BY_TARGET = 0.9
+_SAMPLE_DECAY = 0.98
+"""Factor on the weight of older samples of the fit, for each new sample."""
+_TARGET_DECAY = 0.9
+"""The same factor for the samples of one target's ratio."""
 _RIDGE = 1e-3
-_FIRST_BASE = 0.05
-_FIRST_HOLD = 1.0
-_FIRST_PER_TOKEN = 0.0005
-_HALF_LIFE = 20.0
-"""Seconds in which half of a target's slowness is forgotten without new samples."""
-_SLOWEST = 50.0
-_NOISE = 2.0
-"""Ratio below which a target isn't taken to be slow."""
+"""Added to the variance, in squared tokens, to avoid a division by zero."""
+_INITIAL_BASE_SECONDS = 0.05
+_INITIAL_HOLD_SECONDS = 1.0
+_INITIAL_SECONDS_PER_TOKEN = 0.0005
+_SLOWNESS_HALF_LIFE_SECONDS = 20.0
+"""Time in which a target's slowness decays by half without new samples."""
+_MAX_SLOWNESS = 50.0
+"""Largest ratio of a sample, and of a target, to the expected time."""
+_MIN_SLOWNESS = 2.0
+"""Ratio below which a target doesn't count as slow."""
 
 
 class _TargetSpeed(Struct):
@@ -28,15 +31,23 @@
 class ServiceTimes(Struct):
     """Running estimates for one entry, in seconds.
 
-    The time to the first token is fitted by a line over the uncached prompt tokens,
-    with older samples fading. Each target has a ratio of what it took to what the line
-    gives; the lowest ratio is the measure of the others, so that load which slows all
-    of them makes none look slow.
+    The time to the first token is a linear fit over the uncached prompt tokens, with
+    exponentially decaying weights. Each target has a ratio of measured to fitted time.
+    Ratios are compared with the lowest one, so that load that slows all targets makes
+    no single target look slow.
+
+    Attributes:
+        hold: time for which a request holds its slot.
+        base: time to the first token of a fully cached prompt.
+        per_token: additional time for each uncached prompt token.
+        speeds: ratio of each target.
+        fastest: lowest ratio of all targets.
+        samples: weight of the samples in the fit; the sums belong to the same fit.
     """
 
-    hold: float = _FIRST_HOLD
-    base: float = _FIRST_BASE
-    per_token: float = _FIRST_PER_TOKEN
+    hold: float = _INITIAL_HOLD_SECONDS
+    base: float = _INITIAL_BASE_SECONDS
+    per_token: float = _INITIAL_SECONDS_PER_TOKEN
     speeds: dict[TargetName, _TargetSpeed] = field(default_factory=dict)
     fastest: float = 1.0
     samples: float = 0.0
@@ -52,54 +63,54 @@
     def slowness(self, target: TargetName, now: float) -> float:
         """Return how many times slower a target is than the fastest one.
 
-        A slow target is given little work, so it yields few new samples: the ratio
-        fades by itself, or a target that has recovered would stay unused for good.
+        A slow target gets little work and thus few new samples. Its ratio therefore
+        decays with time; otherwise a target that has recovered would stay unused.
         """
         speed = self.speeds.get(target)
         if speed is None:
             return 1.0
         ratio = speed.ratio / self.fastest
-        if ratio < _NOISE:
+        if ratio < _MIN_SLOWNESS:
             return 1.0
-        faded = 0.5 ** ((now - speed.updated) / _HALF_LIFE)
-        return min(_SLOWEST, 1.0 + (ratio - 1.0) * faded)
+        decay = 0.5 ** ((now - speed.updated) / _SLOWNESS_HALF_LIFE_SECONDS)
+        return min(_MAX_SLOWNESS, 1.0 + (ratio - 1.0) * decay)
 
     def add_first_token(
         self, target: TargetName, seconds: float, uncached: float, now: float
     ) -> None:
-        """Take in one measured time to the first token, without the queue's part."""
+        """Record one measured time to the first token, without queueing time."""
         expected = max(1e-4, self.first_token(uncached))
         speed = self.speeds.setdefault(target, _TargetSpeed(updated=now))
-        # By its logarithm: a prompt that was believed to be cached and isn't takes
-        # many times as long, and one such sample must not make a target look slow.
-        ratio = math.log(min(_SLOWEST, max(1 / _SLOWEST, seconds / expected)))
-        logarithm = _KEPT_BY_TARGET * math.log(speed.ratio)
-        speed.ratio = math.exp(logarithm + (1 - _KEPT_BY_TARGET) * ratio)
+        # Averages logarithms: a prompt wrongly believed to be cached takes many times
+        # as long, and one such sample must not make a target look slow.
+        ratio = math.log(min(_MAX_SLOWNESS, max(1 / _MAX_SLOWNESS, seconds / expected)))
+        logarithm = _TARGET_DECAY * math.log(speed.ratio)
+        speed.ratio = math.exp(logarithm + (1 - _TARGET_DECAY) * ratio)
         speed.updated = now
-        self._find_fastest()
+        self._update_fastest()
         if self.slowness(target, now) < 1.5:
             self._fit(uncached, seconds)
 
     def add_hold(self, seconds: float) -> None:
-        """Take in how long one request held its slot."""
+        """Record for how many seconds one request held its slot."""
         self.hold += 0.05 * (seconds - self.hold)
 
-    def forget_except(self, targets: set[TargetName]) -> None:
-        """Drop what is known of targets that the entry no longer has."""
+    def retain_targets(self, targets: set[TargetName]) -> None:
+        """Drop the estimates of targets that the entry no longer has."""
         for name in [name for name in self.speeds if name not in targets]:
             del self.speeds[name]
-        self._find_fastest()
+        self._update_fastest()
 
-    def _find_fastest(self) -> None:
+    def _update_fastest(self) -> None:
         ratios = (speed.ratio for speed in self.speeds.values())
         self.fastest = min(ratios, default=1.0)
 
     def _fit(self, x: float, y: float) -> None:
-        self.samples = _KEPT * self.samples + 1
-        self.sum_x = _KEPT * self.sum_x + x
-        self.sum_y = _KEPT * self.sum_y + y
-        self.sum_xx = _KEPT * self.sum_xx + x * x
-        self.sum_xy = _KEPT * self.sum_xy + x * y
+        self.samples = _SAMPLE_DECAY * self.samples + 1
+        self.sum_x = _SAMPLE_DECAY * self.sum_x + x
+        self.sum_y = _SAMPLE_DECAY * self.sum_y + y
+        self.sum_xx = _SAMPLE_DECAY * self.sum_xx + x * x
+        self.sum_xy = _SAMPLE_DECAY * self.sum_xy + x * y
         if self.samples < 3:
             return
         covariance = self.sum_xy - self.sum_x * self.sum_y / self.samples
--- a/packages/node/src/bronzepoint_node/policy/_ticket.py
+++ b/packages/node/src/bronzepoint_node/policy/_ticket.py
@@ -1,4 +1,4 @@
-"""A request on its way through the decisions of one host."""
+"""State of one request while a host places it."""
 
 from msgspec import Struct, field
 
@@ -8,14 +8,15 @@
 
 
 class Ticket(Struct):
-    """A request that has passed its limits.
+    """A request that its limits have admitted.
 
     Attributes:
         deadline: monotonic seconds at which its first token is worth nothing.
         placed_at: monotonic seconds of the last placement.
-        expected_wait: seconds in the target's own line expected at that moment.
+        expected_wait: seconds in the target's own queue expected at that moment.
         pool: targets that it waits for, or holds a slot of.
-        holds_slot: True from a placement at home until its try has ended.
+        holds_slot: True from a placement in this region until its try has ended.
+        notes: lines for the decision record.
     """
 
     request: RequestView
--- a/packages/node/src/bronzepoint_node/policy/_token_bucket.py
+++ b/packages/node/src/bronzepoint_node/policy/_token_bucket.py
@@ -1,20 +1,20 @@
-"""A rate kept by a bucket of tokens."""
+"""Rate limiting by a token bucket."""
 
 from msgspec import Struct
 
 BURST = 1.0
-"""Seconds of the rate that may be used at once after a pause."""
-_LONGEST_DEBT = 10.0
-"""Seconds of the rate that a correction may take in advance."""
+"""Size of a bucket, in seconds of its rate."""
+_MAX_DEBT_SECONDS = 10.0
+"""Largest debt that a correction may leave, in seconds of the rate."""
 
 
 class TokenBucket(Struct):
-    """Lets so many units through in a second, with one second's burst.
+    """Admits a number of units per second, with a burst of one second.
 
     Attributes:
-        rate: units a second.
-        level: units there are; below 0 after a correction.
-        updated: monotonic seconds.
+        rate: units per second.
+        level: available units; may be negative after a correction.
+        updated: monotonic seconds of the last refill.
     """
 
     rate: float
@@ -22,40 +22,43 @@
     updated: float
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Go on at another rate."""
-        self._fill(now)
+        """Change the rate."""
+        self._refill(now)
         self.rate = rate
-        self.level = min(self.level, self._most())
+        self.level = min(self.level, self._capacity())
 
     def take(self, amount: float, now: float) -> bool:
-        """Take units; False, and none is taken, where there are too few.
+        """Take units; where too few are available, take none and return False.
 
-        More than the bucket ever holds is let through when it is full, and leaves a
-        debt: a request that may generate many tokens would otherwise never start.
+        An amount above the bucket's capacity is admitted when the bucket is full, and
+        leaves a debt. A request that may generate many tokens would otherwise never
+        start.
         """
-        self._fill(now)
-        if self.level < min(amount, self._most()):
+        self._refill(now)
+        if self.level < min(amount, self._capacity()):
             return False
         self.level -= amount
         return True
 
     def give_back(self, amount: float, now: float) -> None:
-        """Correct an estimate: add what wasn't used, or take what was used besides."""
-        self._fill(now)
-        floor = -_LONGEST_DEBT * max(self.rate, 1.0)
-        self.level = max(floor, min(self._most(), self.level + amount))
+        """Correct an estimate: add unused units, or take those used in excess."""
+        self._refill(now)
+        floor = -_MAX_DEBT_SECONDS * max(self.rate, 1.0)
+        self.level = max(floor, min(self._capacity(), self.level + amount))
 
     def seconds_until(self, amount: float, now: float) -> float:
-        """Return when so much can be taken."""
-        self._fill(now)
-        missing = min(amount, self._most()) - self.level
-        return max(0.0, missing / self.rate) if self.rate > 0 else _LONGEST_DEBT
+        """Return the seconds until an amount can be taken."""
+        self._refill(now)
+        missing = min(amount, self._capacity()) - self.level
+        return max(0.0, missing / self.rate) if self.rate > 0 else _MAX_DEBT_SECONDS
 
-    def _most(self) -> float:
+    def _capacity(self) -> float:
         return max(1.0, self.rate * BURST)
 
-    def _fill(self, now: float) -> None:
-        self.level = min(self._most(), self.level + self.rate * (now - self.updated))
+    def _refill(self, now: float) -> None:
+        self.level = min(
+            self._capacity(), self.level + self.rate * (now - self.updated)
+        )
         self.updated = now
 
 
--- a/packages/node/src/bronzepoint_node/policy/_waiting.py
+++ b/packages/node/src/bronzepoint_node/policy/_waiting.py
@@ -1,4 +1,4 @@
-"""Requests of one entry that wait for a target, in the order they will be served."""
+"""Priority queue of the requests that wait for a pool of targets."""
 
 from bisect import insort
 
@@ -11,12 +11,15 @@
 _RANKS = {EntryClass.interactive: 0, EntryClass.standard: 1, EntryClass.batch: 2}
 
 
-class Waiter:
-    """One waiting request.
+class QueuedRequest:
+    """One request in the queue.
 
     Attributes:
+        rank: rank of its class; lower ranks are served first.
+        order: sort key among the requests of one owner and class.
         deadline: monotonic seconds at which its first token is worth nothing.
-        evicted: True where it was given up for one that ranks higher.
+        wake: set when it should try again to be placed.
+        evicted: True where it was removed in favour of one that ranks higher.
     """
 
     def __init__(self, request: RequestView, arrived: float) -> None:
@@ -24,98 +27,103 @@
         self.rank = _RANKS[request.entry_class]
         self.order = (-request.worth, arrived)
         self.deadline = arrived + request.deadline_left
-        self.turn = curio.Event()
+        self.wake = curio.Event()
         self.evicted = False
 
-    def __lt__(self, other: "Waiter") -> bool:
+    def __lt__(self, other: "QueuedRequest") -> bool:
         return self.order < other.order
 
 
-class WaitingLine:
-    """Waiting requests, by class, then fairly by owner, then by worth.
+class RequestQueue:
+    """Queued requests by class, then by fair share of the owners, then by worth.
 
-    The owner with the fewest requests in progress for its share is served next. An
-    owner that floods waits in its own line; served by arrival, its requests would
-    stand before everyone else's, and one would notice it as other owners' delays that
-    grow with the flood.
+    The owner with the fewest requests in progress relative to its share is served
+    next. Each owner has a queue of its own: in order of arrival, the requests of an
+    owner that sends a burst would delay those of all other owners.
     """
 
     def __init__(self) -> None:
-        self._lines: dict[int, dict[OwnerName, list[Waiter]]] = {}
+        self._queues: dict[int, dict[OwnerName, list[QueuedRequest]]] = {}
         self._in_progress: dict[OwnerName, int] = {}
         self._length = 0
 
     def __len__(self) -> int:
         return self._length
 
-    def add(self, waiter: Waiter) -> None:
-        """Put a request into its owner's line."""
-        owners = self._lines.setdefault(waiter.rank, {})
-        insort(owners.setdefault(waiter.request.owner, []), waiter)
+    def add(self, queued_request: QueuedRequest) -> None:
+        """Add a request to its owner's queue."""
+        owners = self._queues.setdefault(queued_request.rank, {})
+        insort(owners.setdefault(queued_request.request.owner, []), queued_request)
         self._length += 1
 
-    def remove(self, waiter: Waiter) -> None:
-        """Take a request out, wherever it stands; nothing where it isn't in."""
-        owners = self._lines.get(waiter.rank, {})
-        line = owners.get(waiter.request.owner, [])
-        if waiter not in line:
+    def remove(self, queued_request: QueuedRequest) -> None:
+        """Remove a request from any position; do nothing where it isn't queued."""
+        owners = self._queues.get(queued_request.rank, {})
+        queue = owners.get(queued_request.request.owner, [])
+        if queued_request not in queue:
             return
-        line.remove(waiter)
+        queue.remove(queued_request)
         self._length -= 1
-        if not line:
-            del owners[waiter.request.owner]
+        if not queue:
+            del owners[queued_request.request.owner]
 
-    def first(self) -> Waiter | None:
+    def first(self) -> QueuedRequest | None:
         """Return the request that is served next."""
-        for rank in sorted(self._lines):
-            lines = self._lines[rank].values()
-            if lines:
-                return min((line[0] for line in lines), key=self._fair_order)
+        for rank in sorted(self._queues):
+            queues = self._queues[rank].values()
+            if queues:
+                return min((queue[0] for queue in queues), key=self._fair_order)
         return None
 
-    def last(self) -> Waiter | None:
-        """Return the request that is given up first: lowest class, longest line."""
-        for rank in sorted(self._lines, reverse=True):
-            lines = self._lines[rank].values()
-            if lines:
-                line = max(lines, key=lambda line: len(line) / line[0].request.share)
-                return line[-1]
+    def last(self) -> QueuedRequest | None:
+        """Return the request to evict first: lowest class, longest queue by share."""
+        for rank in sorted(self._queues, reverse=True):
+            queues = self._queues[rank].values()
+            if queues:
+                queue = max(
+                    queues, key=lambda queue: len(queue) / queue[0].request.share
+                )
+                return queue[-1]
         return None
 
-    def ahead(self, waiter: Waiter) -> float:
-        """Return how many waiting requests are served before this one.
+    def ahead(self, queued_request: QueuedRequest) -> float:
+        """Return the expected number of queued requests served before this one.
 
-        The waiter needn't stand in a line yet. Of each other owner as many come first
-        as its share allows until this one's turn.
+        The request needn't be queued yet. Of each other owner, as many are counted as
+        its share lets start before this one.
         """
         ahead = 0.0
-        for rank, owners in self._lines.items():
-            if rank < waiter.rank:
-                ahead += sum(len(line) for line in owners.values())
-        owners = self._lines.get(waiter.rank, {})
-        own = owners.get(waiter.request.owner, [])
-        position = sum(1 for other in own if other < waiter)
-        turns = (position + 1) / waiter.request.share
-        for owner, line in owners.items():
-            if owner != waiter.request.owner:
-                ahead += min(len(line), turns * line[0].request.share)
+        for rank, owners in self._queues.items():
+            if rank < queued_request.rank:
+                ahead += sum(len(queue) for queue in owners.values())
+        owners = self._queues.get(queued_request.rank, {})
+        own = owners.get(queued_request.request.owner, [])
+        position = sum(1 for other in own if other < queued_request)
+        turns = (position + 1) / queued_request.request.share
+        for owner, queue in owners.items():
+            if owner != queued_request.request.owner:
+                ahead += min(len(queue), turns * queue[0].request.share)
         return ahead + position
 
     def started(self, owner: OwnerName) -> None:
-        """Note that a request of an owner has started."""
+        """Record that a request of an owner has started."""
         self._in_progress[owner] = self._in_progress.get(owner, 0) + 1
 
     def ended(self, owner: OwnerName) -> None:
-        """Note that a request of an owner has ended."""
+        """Record that a request of an owner has ended."""
         left = self._in_progress.get(owner, 0) - 1
         if left > 0:
             self._in_progress[owner] = left
         else:
             self._in_progress.pop(owner, None)
 
-    def _fair_order(self, waiter: Waiter) -> tuple[float, tuple[float, float]]:
-        request = waiter.request
-        return self._in_progress.get(request.owner, 0) / request.share, waiter.order
+    def _fair_order(
+        self, queued_request: QueuedRequest
+    ) -> tuple[float, tuple[float, float]]:
+        request = queued_request.request
+        return self._in_progress.get(
+            request.owner, 0
+        ) / request.share, queued_request.order
 
 
-__all__ = ["Waiter", "WaitingLine"]
+__all__ = ["QueuedRequest", "RequestQueue"]
--- a/tests/_policy_fakes.py
+++ b/tests/_policy_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the policy's interfaces."""
+"""Fakes for the interfaces that the policy uses."""
 
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import PeerTimeout
@@ -8,7 +8,7 @@
 
 
 class FakeClock:
-    """Time that moves only when a test moves it."""
+    """A clock that tests advance by hand."""
 
     def __init__(self):
         self.now = 100.0
@@ -18,11 +18,11 @@
 
 
 class FakeNet:
-    """Delivers calls between hosts at once, unless a host is cut off."""
+    """Delivers calls between hosts at once, unless a host is partitioned."""
 
     def __init__(self):
         self.handlers = {}
-        self.cut = set()
+        self.partitioned = set()
         self.calls = 0
         self.items = 0
 
@@ -43,13 +43,13 @@
     async def call(self, peer, area, message, timeout):
         self.net.calls += 1
         self.net.items += len(message.items)
-        if self.host in self.net.cut or peer in self.net.cut:
+        if self.host in self.net.partitioned or peer in self.net.partitioned:
             raise PeerTimeout(peer, timeout)
         return await self.net.handlers[peer](self.host, message)
 
 
 class FakeCatalogue:
-    """Has organisations with limits, and nothing else."""
+    """A catalogue with organisations and their limits only."""
 
     def __init__(self, **owners):
         self.owners = {
@@ -67,7 +67,7 @@
 
 
 class FakeRegion:
-    """Hosts of one region that share limits, without any network or time."""
+    """Hosts of one region that share limits, with a fake network and clock."""
 
     def __init__(self, count, **owners):
         self.clock = FakeClock()
@@ -96,13 +96,13 @@
 
 
 def request(owner="acme", **fields):
-    """Return a request with plain defaults."""
-    known = {"request_id": "h0.1", "entry": "chat", "home": "bkk", **fields}
-    return RequestView(owner=owner, **known)
+    """Return a request with default values."""
+    values = {"request_id": "h0.1", "entry": "chat", "home": "bkk", **fields}
+    return RequestView(owner=owner, **values)
 
 
 def target(name, **fields):
-    """Return a target with plain defaults."""
+    """Return a target with default values."""
     return TargetView(name, "bkk", "127.0.0.1:1", **fields)
 
 
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -1,4 +1,4 @@
-"""Who waits, who is refused, and in which order waiting requests start."""
+"""Tests of queueing, refusal and the start order of waiting requests."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.policy import Admission, Home, Refused
-from bronzepoint_node.policy._waiting import Waiter, WaitingLine
+from bronzepoint_node.policy._waiting import QueuedRequest, RequestQueue
 from bronzepoint_schema.generated.catalogue import EntryClass
 from tests._policy_fakes import request, target
 
@@ -15,7 +15,7 @@
 
 
 class FakeTargets:
-    """A number of slots; a request that is placed takes one."""
+    """A number of free slots; each placed request takes one."""
 
     def __init__(self, free):
         self.free = free
@@ -32,18 +32,18 @@
         return place
 
 
-class Scene:
-    """Requests at one host with slots that free up one by one."""
+class Harness:
+    """Admission of one host whose slots are freed one at a time."""
 
-    def __init__(self, free=0, drain=0.1, queue_limit=1000):
+    def __init__(self, free=0, start_interval=0.1, queue_limit=1000):
         self.targets = FakeTargets(free)
         self.admission = Admission(queue_limit, Metrics(None))
-        self.drain = drain
+        self.start_interval = start_interval
         self.answers = {}
 
     async def send(self, req):
         placed = await self.admission.admit(
-            req, POOL, self.targets.place_for(req), lambda: self.drain, 0.05
+            req, POOL, self.targets.place_for(req), lambda: self.start_interval, 0.05
         )
         self.answers[req.request_id] = placed
         if isinstance(placed, Home):
@@ -72,20 +72,20 @@
 class TestOrder(unittest.TestCase):
     def order(self, requests):
         async def main():
-            scene = Scene()
-            tasks = await scene.queue(requests)
-            await scene.free_slots(requests)
+            harness = Harness()
+            tasks = await harness.queue(requests)
+            await harness.free_slots(requests)
             for task in tasks:
                 await task.join()
-            return scene.targets.started
+            return harness.targets.started
 
         return curio.run(main)
 
     def test_flood_by_one_owner(self):
-        """One organisation's flood delays everyone.
+        """A burst of one organisation must not delay the requests of others.
 
-        A hundred of its requests wait when another organisation's three arrive. In
-        order of arrival those would start last.
+        A hundred of its requests are queued when another organisation's three arrive.
+        In order of arrival those three would start last.
         """
         flood = numbered("flood", 100)
         others = numbered("other", 3)
@@ -93,7 +93,7 @@
         places = [started.index(req.request_id) for req in others]
         self.assertLessEqual(max(places), 6)
 
-    def test_share_weighs(self):
+    def test_starts_are_proportional_to_shares(self):
         started = self.order(
             [*numbered("small", 20), *numbered("large", 20, share=3.0)]
         )
@@ -110,49 +110,48 @@
         )
         self.assertEqual(started[:5], [f"high{i}" for i in range(5)])
 
-    def test_ahead_counts_what_fairness_lets_go_first(self):
-        line = WaitingLine()
+    def test_ahead_counts_requests_that_fairness_serves_first(self):
+        queue = RequestQueue()
         for req in numbered("flood", 50):
-            line.add(Waiter(req, 0.0))
-        self.assertEqual(line.ahead(Waiter(request("other"), 1.0)), 1.0)
-        self.assertEqual(line.ahead(Waiter(request("flood"), 1.0)), 50.0)
+            queue.add(QueuedRequest(req, 0.0))
+        self.assertEqual(queue.ahead(QueuedRequest(request("other"), 1.0)), 1.0)
+        self.assertEqual(queue.ahead(QueuedRequest(request("flood"), 1.0)), 50.0)
 
 
 class TestRefusals(unittest.TestCase):
     def test_unreachable_deadline_is_refused_at_once(self):
-        """A caller waits for its whole deadline and then gets nothing.
+        """A caller must not wait until its deadline for a certain refusal.
 
-        The line is longer than its deadline when it arrives, so that this is known
-        at once.
+        On arrival the expected wait in the queue is already longer than its deadline.
         """
 
         async def main():
-            scene = Scene(drain=1.0)
-            waiting = await scene.queue(numbered("acme", 5, deadline_left=60.0))
+            harness = Harness(start_interval=1.0)
+            waiting = await harness.queue(numbered("acme", 5, deadline_left=60.0))
             late = request(request_id="late", deadline_left=2.0)
-            # No slot frees up: that it returns at all shows that it did not wait.
-            await scene.send(late)
+            # No slot is freed, so the return shows that the request did not wait.
+            await harness.send(late)
             for task in waiting:
                 await task.cancel()
-            return scene.answers["late"]
+            return harness.answers["late"]
 
         refused = curio.run(main)
         self.assertEqual(refused.kind, "deadline_unreachable")
         self.assertAlmostEqual(refused.retry_after, 4.05, delta=0.2)
 
-    def test_low_worth_goes_first(self):
+    def test_lowest_worth_is_evicted_first(self):
         async def main():
-            scene = Scene(drain=0.5)
+            harness = Harness(start_interval=0.5)
             low = request("acme", request_id="low", worth=1.0, deadline_left=1.3)
-            tasks = await scene.queue([low])
+            tasks = await harness.queue([low])
             high = numbered("acme", 2, worth=5.0, deadline_left=60.0)
-            tasks += await scene.queue(high)
-            while "low" not in scene.answers:
+            tasks += await harness.queue(high)
+            while "low" not in harness.answers:
                 await curio.sleep(0.001)
-            started = list(scene.targets.started)
+            started = list(harness.targets.started)
             for task in tasks:
                 await task.cancel()
-            return scene.answers["low"], started
+            return harness.answers["low"], started
 
         refused, started = curio.run(main)
         self.assertEqual((refused.kind, started), ("overloaded", []))
@@ -160,43 +159,43 @@
 
     def test_queue_limit(self):
         async def main():
-            scene = Scene(queue_limit=2, drain=0.001)
-            tasks = await scene.queue(numbered("acme", 2))
-            await scene.send(request(request_id="third"))
+            harness = Harness(queue_limit=2, start_interval=0.001)
+            tasks = await harness.queue(numbered("acme", 2))
+            await harness.send(request(request_id="third"))
             for task in tasks:
                 await task.cancel()
-            return scene.answers["third"], scene.admission.queued("chat")
+            return harness.answers["third"], harness.admission.queued("chat")
 
         refused, left = curio.run(main)
         self.assertEqual((refused.kind, left), ("overloaded", 0))
 
     def test_forwarded_request_does_not_wait(self):
         async def main():
-            scene = Scene()
-            await scene.send(request(request_id="f", forwarded=True))
-            return scene.answers["f"]
+            harness = Harness()
+            await harness.send(request(request_id="f", forwarded=True))
+            return harness.answers["f"]
 
         self.assertEqual(curio.run(main).kind, "overloaded")
 
-    def test_caller_that_leaves_takes_no_slot(self):
-        """A slot is given to a caller that has gone, and the next one waits on."""
+    def test_cancelled_request_takes_no_slot(self):
+        """A free slot must not be lost on a cancelled request that was queued."""
 
         async def main():
-            scene = Scene()
+            harness = Harness()
             requests = numbered("acme", 2)
-            tasks = await scene.queue(requests)
+            tasks = await harness.queue(requests)
             await tasks[0].cancel()
-            scene.targets.free = 1
-            await scene.admission.ended(POOL, "nobody")
+            harness.targets.free = 1
+            await harness.admission.ended(POOL, "nobody")
             await tasks[1].join()
-            return scene.targets.started
+            return harness.targets.started
 
         self.assertEqual(curio.run(main), ["acme1"])
 
     def test_free_slot_is_taken_at_once(self):
         async def main():
-            scene = Scene(free=1)
-            await scene.send(request(request_id="one"))
-            return scene.answers["one"]
+            harness = Harness(free=1)
+            await harness.send(request(request_id="one"))
+            return harness.answers["one"]
 
         self.assertNotIsInstance(curio.run(main), Refused)
--- a/tests/test_policy_experiments.py
+++ b/tests/test_policy_experiments.py
@@ -1,4 +1,4 @@
-"""What the experiments draw and how they count; the runs are `make bench`."""
+"""Tests of the experiments' arrivals and summaries; `make bench` runs them."""
 
 import unittest
 
--- a/tests/test_policy_limits.py
+++ b/tests/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""Limits that hold over the hosts of a region."""
+"""Tests of limits that are shared by the hosts of a region."""
 
 import unittest
 
@@ -13,27 +13,35 @@
 from tests._policy_fakes import Bounds, FakeRegion, request
 
 
-async def pass_seconds(region, offered, seconds, held=None):
-    """Offer requests at rates by host in steps of 0.05 s; return those let through."""
-    passed = dict.fromkeys(region.names, 0)
-    owed = dict.fromkeys(region.names, 0.0)
+async def run_for(region, offered, seconds, tickets=None):
+    """Offer requests at rates by host in steps of 0.05 s; return the admitted ones.
+
+    Args:
+        region: The hosts.
+        offered: Requests per second for each host.
+        seconds: Duration by the fake clock.
+        tickets: Receives the host and ticket of each request, which then isn't
+            released.
+    """
+    admitted = dict.fromkeys(region.names, 0)
+    pending = dict.fromkeys(region.names, 0.0)
     for step in range(int(seconds / 0.05)):
         region.clock.now += 0.05
         if step % 20 == 19:
             await region.report()
         for host, rate in offered.items():
-            owed[host] += rate * 0.05
-            while owed[host] >= 1:
-                owed[host] -= 1
+            pending[host] += rate * 0.05
+            while pending[host] >= 1:
+                pending[host] -= 1
                 taken = await region.limits[host].acquire(request())
                 if isinstance(taken, Refused):
                     continue
-                passed[host] += 1
-                if held is None:
+                admitted[host] += 1
+                if tickets is None:
                     region.limits[host].release(taken, 0)
                 else:
-                    held.append((host, taken))
-    return passed
+                    tickets.append((host, taken))
+    return admitted
 
 
 class TestShares(unittest.TestCase):
@@ -46,7 +54,7 @@
     def test_max_min(self, amount, demands, expected):
         self.assertEqual(max_min_shares(amount, demands), expected)
 
-    def test_bucket_lets_a_request_above_its_size_through_once(self):
+    def test_bucket_admits_a_request_above_its_size_once(self):
         bucket = TokenBucket(10.0, 10.0, 0.0)
         self.assertTrue(bucket.take(100, 0.0))
         self.assertFalse(bucket.take(1, 5.0))
@@ -63,24 +71,24 @@
         region = FakeRegion(3, acme=Bounds(rate=30))
 
         async def main():
-            await pass_seconds(region, offered, 6)
+            await run_for(region, offered, 6)
             before = region.net.calls
-            passed = sum((await pass_seconds(region, offered, 20)).values())
-            return passed, region.net.calls - before
+            admitted = sum((await run_for(region, offered, 20)).values())
+            return admitted, region.net.calls - before
 
-        passed, calls = curio.run(main)
+        admitted, calls = curio.run(main)
         possible = min(30, sum(offered.values())) * 20
-        self.assertLessEqual(passed, 30 * 1.1 * 21 + 3)
-        self.assertGreaterEqual(passed, 0.8 * possible)
-        # At most one report in a period and four early ones, however many requests.
+        self.assertLessEqual(admitted, 30 * 1.1 * 21 + 3)
+        self.assertGreaterEqual(admitted, 0.8 * possible)
+        # At most one regular and four early reports per period, whatever the load.
         self.assertLessEqual(calls, 3 * 5 * 20)
 
     def test_holder_lost(self):
-        """A limit is passed many times over.
+        """The loss of the holder must not let hosts exceed a limit several times.
 
-        One host has nearly all of a limit when the holder is killed, and then the
-        callers move to another host. A grant that was kept for good would let the
-        first host go on at the whole limit beside the second one's part.
+        One host is granted nearly all of a limit when the holder fails and callers
+        also use another host. If its grant never expired, the first host would keep
+        using the whole limit in addition to the second host's equal share.
         """
         region = FakeRegion(3, acme=Bounds(rate=30))
 
@@ -88,77 +96,77 @@
             limits = region.limits["h0"]
             holder = limits._holder(LimitKey(LimitScope.owner, "acme"))
             first, second = [name for name in region.names if name != holder]
-            await pass_seconds(region, {first: 200}, 6)
-            region.net.cut.add(holder)
+            await run_for(region, {first: 200}, 6)
+            region.net.partitioned.add(holder)
             both = {first: 200, second: 200}
-            return sum((await pass_seconds(region, both, 10)).values())
+            return sum((await run_for(region, both, 10)).values())
 
-        passed = curio.run(main)
-        # The old grant for its lifetime, then two equal parts, and their bursts.
-        self.assertLessEqual(passed, 30 * 2.5 + 20 * 10 + 20 + 30)
-        self.assertGreaterEqual(passed, 20 * 10)
+        admitted = curio.run(main)
+        # The old grant for its lifetime, then two equal shares, and their bursts.
+        self.assertLessEqual(admitted, 30 * 2.5 + 20 * 10 + 20 + 30)
+        self.assertGreaterEqual(admitted, 20 * 10)
 
     def test_isolated_host(self):
-        """Both sides of a partition let the whole limit through.
+        """The two sides of a network partition must not exceed a limit together.
 
-        A host is cut off. The others see it as dead, and the holder divides all of
-        the limit between them, while the host goes on with its equal part.
+        An isolated host is seen as dead by the others. If the holder divided the whole
+        limit between them, the isolated host would still use its equal share.
         """
         region = FakeRegion(3, acme=Bounds(rate=30))
 
         async def main():
             limits = region.limits["h0"]
             holder = limits._holder(LimitKey(LimitScope.owner, "acme"))
-            cut = next(name for name in region.names if name != holder)
-            region.net.cut.add(cut)
-            region.live.remove(cut)
+            isolated = next(name for name in region.names if name != holder)
+            region.net.partitioned.add(isolated)
+            region.live.remove(isolated)
             offered = {name: 60 for name in region.names}
-            await pass_seconds(region, offered, 6)
-            return sum((await pass_seconds(region, offered, 10)).values())
+            await run_for(region, offered, 6)
+            return sum((await run_for(region, offered, 10)).values())
 
-        passed = curio.run(main)
-        self.assertLessEqual(passed, 30 * 1.1 * 11 + 3)
-        self.assertGreaterEqual(passed, 30 * 10 * 0.8)
+        admitted = curio.run(main)
+        self.assertLessEqual(admitted, 30 * 1.1 * 11 + 3)
+        self.assertGreaterEqual(admitted, 30 * 10 * 0.8)
 
     def test_rate_moves(self):
-        """Right after the callers moved, twice the limit is let through.
+        """Twice the limit must not be admitted right after callers move.
 
-        One host is granted the whole limit and still uses it when another begins. The
-        holder may give the second only what has come back from the first.
+        One host is granted the whole limit and still uses it when another host gets
+        requests. The holder may grant the second only what the first has returned.
         """
         region = FakeRegion(3, acme=Bounds(rate=60))
 
         async def main():
-            await pass_seconds(region, {"h0": 300}, 6)
-            return await pass_seconds(region, {"h0": 300, "h1": 300}, 0.9)
+            await run_for(region, {"h0": 300}, 6)
+            return await run_for(region, {"h0": 300, "h1": 300}, 0.9)
 
-        passed = sum(curio.run(main).values())
-        # The whole rate, and the second host's equal part with its burst.
-        self.assertLessEqual(passed, 0.9 * 60 + 20 + 5)
+        admitted = sum(curio.run(main).values())
+        # The whole rate, and the second host's equal share with its burst.
+        self.assertLessEqual(admitted, 0.9 * 60 + 20 + 5)
 
     def test_demand_moves(self):
-        """More is in progress than the limit, right after the callers moved.
+        """Requests in progress must not exceed the limit right after callers move.
 
-        One host holds nearly all of the limit, idle. Another begins to ask: were the
-        idle host's grant given away before it has ended, both could use it.
+        One host's grant covers nearly all of the limit when other hosts report demand.
+        If the grant were given to them before it has expired, both sides could use it.
         """
         region = FakeRegion(3, acme=Bounds(in_progress=12))
 
         async def main():
-            held = []
-            await pass_seconds(region, {"h0": 40}, 4, held)
-            first = len(held)
-            await pass_seconds(region, {"h1": 40, "h2": 40}, 4, held)
-            moved = len(held)
-            for host, ticket in held:
+            tickets = []
+            await run_for(region, {"h0": 40}, 4, tickets)
+            first = len(tickets)
+            await run_for(region, {"h1": 40, "h2": 40}, 4, tickets)
+            moved = len(tickets)
+            for host, ticket in tickets:
                 region.limits[host].release(ticket, 0)
-            held.clear()
-            await pass_seconds(region, {"h1": 40}, 8, held)
-            return first, moved, len(held)
+            tickets.clear()
+            await run_for(region, {"h1": 40}, 8, tickets)
+            return first, moved, len(tickets)
 
         first, moved, last = curio.run(main)
         self.assertEqual(first, 12)
-        # The equal parts of the two hosts that had no grant: 4 each, once.
+        # The equal shares of the two hosts without a grant: 4 each, once.
         self.assertLessEqual(moved, 12 + 8)
         self.assertEqual(last, 12)
 
@@ -178,7 +186,7 @@
         self.assertGreater(second.retry_after, 0)
         self.assertNotIsInstance(third, Refused)
 
-    def test_rare_callers_are_not_reported(self):
+    def test_low_demand_is_not_reported(self):
         region = FakeRegion(3, **{f"o{i}": Bounds(rate=30) for i in range(500)})
 
         async def main():
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -1,4 +1,4 @@
-"""Which tries may be repeated, and how many."""
+"""Tests of safe retries and of the retry budget."""
 
 import unittest
 
@@ -23,10 +23,10 @@
         self.assertEqual(safe_to_retry(reason, idempotent), expected)
 
     def test_failing_region_gets_no_multiple_of_its_load(self):
-        """A region that is overloaded falls over for good.
+        """Retries must not multiply the load of an overloaded region.
 
-        Every target answers with an error, and each request is tried three times: the
-        region gets three times the load that it has just failed under.
+        Every target answers with an error. If each request were tried three times, the
+        region would get three times the load that overloaded it.
         """
         budget = RetryBudget(0.1)
         tries = 0
@@ -47,7 +47,7 @@
             budget.answered("chat", "bkk")
         self.assertTrue(budget.take("chat", "bkk", RetryReason.target_error))
         self.assertFalse(budget.take("chat", "bkk", RetryReason.target_error))
-        # The budget of one region isn't spent by another.
+        # Each region has a budget of its own.
         self.assertTrue(budget.take("chat", "sgp", RetryReason.target_error))
 
     def test_tries_that_cost_nothing_are_not_counted(self):
--- a/tests/test_policy_targets.py
+++ b/tests/test_policy_targets.py
@@ -1,4 +1,4 @@
-"""Choice of a target."""
+"""Tests of the choice of a target."""
 
 import unittest
 from collections import Counter, deque
@@ -32,7 +32,7 @@
         (target("a", slots=8, in_flight=1, allowed=1), "full"),
         (target("tried"), "tried"),
     )
-    def test_alone(self, view, reason):
+    def test_single_target(self, view, reason):
         choice = choose([view], request(tried=["tried"]))
         self.assertIsNone(choice.target)
         self.assertEqual(choice.candidates[0].excluded, reason)
@@ -44,11 +44,11 @@
         chosen = [c.name for c in choice.candidates if c.excluded is None]
         self.assertEqual(chosen, [name_of(choice)])
 
-    def test_own_part_is_open_whatever_the_report_says(self):
-        """A host with waiting callers stays idle beside a busy target.
+    def test_own_share_is_usable_whatever_the_report_says(self):
+        """A host may use its share of the slots although a report shows a full target.
 
-        The last report counts so many requests of others that the target looks full,
-        and while it looks full the host sends nothing that would show otherwise.
+        The last report counts so many requests of other hosts that the target looks
+        full. Otherwise the host would send nothing while its callers wait.
         """
         view = target("a", slots=6, running=6, waiting=9, report_age=0.0)
         self.assertIsNotNone(choose([view], hosts=3).target)
@@ -73,10 +73,10 @@
             self.assertEqual(name_of(choice), expected)
 
     def test_affinity_ends_where_the_load_is_uneven(self):
-        """One target drowns while the others stand idle.
+        """One target must not be overloaded while the others are idle.
 
-        All requests of the hour share one long prefix, and the only target that has
-        it cached looks best for each of them.
+        All requests share one long prefix, and the only target that has it cached
+        looks best for each of them.
         """
         req = request(prompt_tokens=4000)
         hot = target("hot", slots=16, in_flight=13, cached_tokens=4000)
@@ -86,16 +86,18 @@
         self.assertEqual(name_of(choose([hot, *idle], req)), "hot")
 
     @params(
-        # weight of reading again, backlog of the target that keeps the prompt, chosen
+        # Weight of rereading, backlog of the target with the cached prompt, chosen.
         (0.0, 0.01, "keeps"),
         (0.0, 0.5, "idle"),
         (4.0, 0.5, "keeps"),
         (4.0, 1.5, "idle"),
     )
-    def test_delay_accepted_to_read_nothing_again(self, weight, backlog, expected):
-        """Symptom: at peaks a quarter of all prompt tokens are read a second time.
-        Sequence: the engine that keeps a shared part is a little busier than another.
-        Cause: only this request's delay counted, not what it costs the others."""
+    def test_delay_accepted_to_use_a_cached_prompt(self, weight, backlog, expected):
+        """A busier target is chosen if it saves computing cached tokens again.
+
+        With only this request's delay in the score, and not the cost to others, a
+        quarter of all prompt tokens were computed a second time at peak load.
+        """
         times = ServiceTimes(hold=0.1, per_token=1 / 35_000)
         views = [
             target("keeps", cached_tokens=6000, backlog=backlog),
@@ -108,9 +110,12 @@
         self.assertEqual(name_of(choose(views, req, times)), expected)
 
     def test_full_target_that_keeps_the_prompt_is_not_waited_for(self):
-        """Symptom: requests are refused beside idle engines.
-        Sequence: the only engine that keeps a shared part is full.
-        Cause: what it keeps made waiting for it look better than any idle one."""
+        """A request must not wait for a full target because of its cache.
+
+        The only target that has the prompt cached is full. If its cache counted,
+        waiting for it would look better than an idle target, and requests would be
+        refused.
+        """
         times = ServiceTimes(hold=0.1, per_token=1 / 35_000)
         views = [
             target("keeps", slots=4, in_flight=4, cached_tokens=6000),
@@ -122,7 +127,7 @@
         req.reread_weight = 4.0
         self.assertEqual(name_of(choose(views, req, times)), "idle")
 
-    def test_slow_target_is_left_and_tried_again_later(self):
+    def test_slow_target_is_avoided_and_later_used_again(self):
         times = ServiceTimes()
         for _ in range(20):
             times.add_first_token("a", 2.0, 100, 0.0)
@@ -134,11 +139,11 @@
             views = [target("a"), target("b", in_flight=3)]
             self.assertEqual(name_of(choose(views, times=times, seed=seed)), "b")
 
-    def test_slow_target_is_not_the_way_out(self):
-        """Every request that finds no room elsewhere goes to the one slow target.
+    def test_slow_target_is_not_used_as_overflow(self):
+        """A slow target must not get every request that finds no free slot elsewhere.
 
-        It always has room, since nobody else uses it. A slot of the full target would
-        have been free long before the slow one gives its first token.
+        It always has free slots, since no other request uses it. A slot of the full
+        target is free long before the slow one sends its first token.
         """
         times = ServiceTimes(hold=0.6)
         for _ in range(40):
@@ -149,11 +154,11 @@
         self.assertIsNone(choice.target)
         self.assertEqual(choice.usable, 2)
 
-    def test_one_mistaken_hit_makes_no_target_slow(self):
-        """A target gets no work for half a minute, and nothing is wrong with it.
+    def test_one_wrong_cache_estimate_makes_no_target_slow(self):
+        """One wrong cache estimate must not make a healthy target look slow.
 
-        A prompt was believed to be cached there and wasn't, so one answer took twenty
-        times what was expected of it.
+        A prompt was wrongly believed to be cached there, so one answer took twenty
+        times the expected time. The target would get no work for half a minute.
         """
         times = ServiceTimes()
         for _ in range(20):
@@ -163,9 +168,10 @@
         self.assertEqual(times.slowness("a", 0.0), 1.0)
 
     def test_hosts_agree_where_a_new_prefix_goes(self):
-        """Every target holds the same few prefixes, and the rare ones are cold.
+        """All hosts must send a new prefix to the same target.
 
-        Hosts that know of no cached copy each send a rare prefix to another target.
+        If hosts that know of no cached copy each chose another target, all targets
+        would hold the same few prefixes, and no target the rare ones.
         """
         names = "abcd"
         for number in range(20):
@@ -187,7 +193,7 @@
 
 
 class TestLateReports(unittest.TestCase):
-    def test_old_report_gives_way_to_the_mean(self):
+    def test_old_report_is_replaced_by_the_mean(self):
         fresh = [
             target("a", running=6, report_age=0.0),
             target("b", running=0, report_age=0.0),
@@ -200,11 +206,11 @@
 
     @params(*((seed, *case) for seed in range(1, 6) for case in ((1.0, 24), (5.0, 20))))
     def test_hosts_do_not_move_together(self, seed, late, bound):
-        """Targets fill and empty in turns, with the period of the reports.
+        """The load of targets must not oscillate with the period of the reports.
 
-        Nine hosts see the same reports, which are late. At each report all of them
-        send everything to the target that was idle, because each believes the report
-        and none knows what the others send in between.
+        Nine hosts see the same late reports. If they relied on them alone, all would
+        send everything to the target that was idle at the time of the report, since
+        none knows what the others have sent since.
         """
         rng = Random(seed)
         hosts, names, slots, hold = 9, "abcdef", 24, 1.0
@@ -239,6 +245,6 @@
                 choice = choose(views, hosts=hosts, seed=rng.random())
                 own[host, name_of(choice)] += 1
                 running.append((now + hold, host, name_of(choice)))
-        # 90 requests are in progress, 15 a target when they are even. Taken at their
-        # word, the reports make this swing between none and all.
+        # 90 requests are in progress, 15 per target when evenly spread. Relying on the
+        # reports alone makes the number at one target vary between none and all.
         self.assertLessEqual(worst, bound)
--- a/tests/test_policy_whole.py
+++ b/tests/test_policy_whole.py
@@ -1,4 +1,4 @@
-"""All decisions of one host together, as the entry calls them."""
+"""Tests of all decisions of one host together, through the policy's interface."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 from tests._policy_fakes import Bounds, FakeCatalogue, FakeNet, request, target
 
 
-class Scene:
-    """One host of region bkk with two targets, and region sgp."""
+class Harness:
+    """Policy of one host in region bkk with two targets; sgp is the other region."""
 
     def __init__(self, choice=PolicyChoice.policy, **owners):
         self.views = [target("a", slots=4), target("b", slots=4)]
@@ -50,59 +50,59 @@
 
 
 class TestPolicy(unittest.TestCase):
-    def test_record_says_everything(self):
-        scene = Scene(acme=Bounds(rate=10))
-        _, placed = curio.run(scene.place, request())
+    def test_record_names_all_candidates_and_limits(self):
+        harness = Harness(acme=Bounds(rate=10))
+        _, placed = curio.run(harness.place, request())
         self.assertIsInstance(placed, Home)
         names = {candidate.name for candidate in placed.candidates}
         self.assertEqual(names, {"bkk", "sgp", "a", "b"})
         self.assertIn("limits: within owner:acme", placed.notes)
         self.assertIn("least expected loss at home", placed.reason)
 
-    def test_residency_binds_when_home_is_gone(self):
-        scene = Scene()
-        scene.views = []
-        _, away = curio.run(scene.place, request())
+    def test_residency_applies_without_local_targets(self):
+        harness = Harness()
+        harness.views = []
+        _, away = curio.run(harness.place, request())
         self.assertIsInstance(away, Away)
-        _, refused = curio.run(scene.place, request(allowed_regions=["bkk"]))
+        _, refused = curio.run(harness.place, request(allowed_regions=["bkk"]))
         self.assertEqual(refused.kind, "no_target")
 
     @params(*PolicyChoice)
-    def test_home_that_residency_rules_out_serves_nothing(self, choice):
-        """A request is served in its home region, which its residency forbids.
+    def test_own_region_excluded_by_residency_serves_nothing(self, choice):
+        """A request must not be served in a region that its residency forbids.
 
-        The one region that is allowed can't be reached, and home has idle targets.
+        The only allowed region is unreachable, and this region has idle targets.
         """
-        scene = Scene(choice)
-        scene.regions[1].reachable = False
-        _, refused = curio.run(scene.place, request(allowed_regions=["sgp"]))
+        harness = Harness(choice)
+        harness.regions[1].reachable = False
+        _, refused = curio.run(harness.place, request(allowed_regions=["sgp"]))
         self.assertEqual(refused.kind, "region_unreachable")
 
     def test_slot_of_a_caller_that_left_is_free(self):
-        scene = Scene()
-        scene.regions = scene.regions[:1]
+        harness = Harness()
+        harness.regions = harness.regions[:1]
 
         async def main():
-            held = [await scene.place(request()) for _ in range(8)]
-            waiting = await curio.spawn(scene.place, request())
-            while scene.policy.queued("chat") == 0:
+            held = [await harness.place(request()) for _ in range(8)]
+            waiting = await curio.spawn(harness.place, request())
+            while harness.policy.queued("chat") == 0:
                 await curio.sleep(0)
             ticket, placed = held[0]
             placed.target.in_flight -= 1
-            await scene.policy.leave(ticket, False, 0)
+            await harness.policy.leave(ticket, False, 0)
             _, again = await waiting.join()
             return again
 
         self.assertIsInstance(curio.run(main), Home)
 
     def test_limit_refuses(self):
-        scene = Scene(acme=Bounds(in_progress=1))
+        harness = Harness(acme=Bounds(in_progress=1))
 
         async def main():
-            ticket, placed = await scene.place(request())
-            _, refused = await scene.place(request())
-            await scene.finish(ticket, placed)
-            _, again = await scene.place(request())
+            ticket, placed = await harness.place(request())
+            _, refused = await harness.place(request())
+            await harness.finish(ticket, placed)
+            _, again = await harness.place(request())
             return refused, again
 
         refused, again = curio.run(main)
@@ -111,16 +111,16 @@
         self.assertIsInstance(again, Home)
 
     def test_waiting_request_starts_when_one_ends(self):
-        scene = Scene()
-        scene.regions = scene.regions[:1]
+        harness = Harness()
+        harness.regions = harness.regions[:1]
 
         async def main():
-            held = [await scene.place(request()) for _ in range(8)]
-            waiting = await curio.spawn(scene.place, request())
-            while scene.policy.queued("chat") == 0:
+            held = [await harness.place(request()) for _ in range(8)]
+            waiting = await curio.spawn(harness.place, request())
+            while harness.policy.queued("chat") == 0:
                 await curio.sleep(0)
-            self.assertGreater(scene.policy.expected_wait("chat"), 0)
-            await scene.finish(*held[0])
+            self.assertGreater(harness.policy.expected_wait("chat"), 0)
+            await harness.finish(*held[0])
             _, placed = await waiting.join()
             return placed
 
@@ -129,70 +129,74 @@
         self.assertIn("admission: waited", placed.notes[-1])
 
     @params((True, 1.0), (False, 0.0))
-    def test_patience_with_another_region(self, idempotent, least):
-        """Callers hang until their deadline, since a region was just cut off.
+    def test_longest_wait_for_another_region(self, idempotent, least):
+        """Callers must not hang until their deadline when a region is partitioned.
 
-        The link is cut in silence, and for some seconds requests still go over it. An
-        answer that doesn't come says nothing about whether the request ran, so only
-        one that may run twice is given up early for another place.
+        For some seconds requests are still forwarded over the failed link, without
+        any error. A missing answer doesn't show whether the request ran, so only an
+        idempotent request is given up early and tried in another place.
         """
-        scene = Scene()
-        scene.views = []
+        harness = Harness()
+        harness.views = []
 
         async def main():
-            ticket, placed = await scene.place(request(idempotent=idempotent))
-            await scene.policy.try_ended(ticket, placed, TryResult.timeout, None)
-            may = scene.policy.may_retry(ticket, RetryReason.target_error, "sgp")
-            _, again = await scene.place(request())
-            return placed, may, again
+            ticket, placed = await harness.place(request(idempotent=idempotent))
+            await harness.policy.try_ended(ticket, placed, TryResult.timeout, None)
+            may_retry_it = harness.policy.may_retry(
+                ticket, RetryReason.target_error, "sgp"
+            )
+            _, again = await harness.place(request())
+            return placed, may_retry_it, again
 
-        placed, may, again = curio.run(main)
+        placed, may_retry_it, again = curio.run(main)
         self.assertGreaterEqual(placed.patience, least)
         self.assertEqual(placed.patience > 0, idempotent)
-        self.assertEqual(may, idempotent)
+        self.assertEqual(may_retry_it, idempotent)
         self.assertEqual(again.kind, "no_target")
 
-    def test_region_that_refuses_is_left_alone(self):
-        scene = Scene()
-        scene.views = []
+    def test_refusing_region_is_paused(self):
+        harness = Harness()
+        harness.views = []
 
         async def main():
-            ticket, placed = await scene.place(request())
-            await scene.policy.try_ended(
+            ticket, placed = await harness.place(request())
+            await harness.policy.try_ended(
                 ticket, placed, TryResult.refused_by_target, None
             )
-            may = scene.policy.may_retry(ticket, RetryReason.region_refused, "sgp")
-            _, again = await scene.place(request())
-            return may, again
+            may_retry_it = harness.policy.may_retry(
+                ticket, RetryReason.region_refused, "sgp"
+            )
+            _, again = await harness.place(request())
+            return may_retry_it, again
 
-        may, again = curio.run(main)
-        self.assertTrue(may)
+        may_retry_it, again = curio.run(main)
+        self.assertTrue(may_retry_it)
         self.assertEqual(again.kind, "no_target")
-        self.assertEqual(scene.metrics.counters()["retry.region_refused"], 1)
+        self.assertEqual(harness.metrics.counters()["retry.region_refused"], 1)
 
     @params(
         (PolicyChoice.round_robin, {"a": 4, "b": 4}),
         (PolicyChoice.least_in_progress, {"a": 4, "b": 4}),
     )
     def test_baselines(self, choice, expected):
-        scene = Scene(choice)
+        harness = Harness(choice)
 
         async def main():
             counts = {"a": 0, "b": 0}
             for _ in range(8):
-                _, placed = await scene.place(request())
+                _, placed = await harness.place(request())
                 counts[placed.target.name] += 1
             return counts
 
         self.assertEqual(curio.run(main), expected)
 
     def test_random_region_keeps_to_residency(self):
-        scene = Scene(PolicyChoice.random_region)
+        harness = Harness(PolicyChoice.random_region)
 
         async def main():
-            free = [(await scene.place(request()))[1] for _ in range(40)]
+            free = [(await harness.place(request()))[1] for _ in range(40)]
             bound = request(allowed_regions=["bkk"])
-            home = [(await scene.place(bound))[1] for _ in range(40)]
+            home = [(await harness.place(bound))[1] for _ in range(40)]
             return free, home
 
         free, home = curio.run(main)
