--- a/packages/node/src/bronzepoint_node/targets/__init__.py
+++ b/packages/node/src/bronzepoint_node/targets/__init__.py
@@ -1,4 +1,4 @@
-"""The targets of this host's region: load, leaving, ejection, cached prefixes."""
+"""Tracks the targets of a region: load, leaving, ejection, cached prefixes."""
 
 from bronzepoint_node.targets._ejection import (
     Health,
--- a/packages/node/src/bronzepoint_node/targets/_byte_budget.py
+++ b/packages/node/src/bronzepoint_node/targets/_byte_budget.py
@@ -1,14 +1,14 @@
-"""A bound on the bytes a second of one kind of reading."""
+"""Bound on the bytes per second that are read from one kind of source."""
 
 
 class ByteBudget:
-    """Lets a reading go ahead while what was read lately stays within a rate.
+    """Limits reads to a rate in bytes.
 
-    What a reading brings is known only afterwards, so it is charged then, and the next
-    one waits until the charge is paid off.
+    The size of a read is known only afterwards, so it is charged then, and the next
+    read waits until the rate has made up for it.
 
     Args:
-        rate: Bytes a second.
+        rate: Bytes per second.
     """
 
     def __init__(self, rate: float) -> None:
@@ -16,9 +16,9 @@
         self._free_at = 0.0
 
     def wait(self, now: float) -> float:
-        """Return the seconds until the next reading may go ahead."""
+        """Return the seconds until the next read is allowed."""
         return max(0.0, self._free_at - now)
 
     def charge(self, size: int, now: float) -> None:
-        """Charge a reading that has brought so many bytes."""
+        """Charge a read by its size in bytes."""
         self._free_at = max(self._free_at, now) + size / self._rate
--- a/packages/node/src/bronzepoint_node/targets/_ejection.py
+++ b/packages/node/src/bronzepoint_node/targets/_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of targets that fail or are far slower than their siblings."""
+"""Outlier ejection: removes targets that fail or are far slower than their siblings."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -8,25 +8,29 @@
 
 from bronzepoint_schema.generated.decisions import TryResult
 
-FAILURES = 3
-"""Consecutive failures that eject a target."""
+FAILURES_TO_EJECT = 3
+"""Number of consecutive failures after which a target is ejected."""
 SLOW_FACTOR = 5.0
-SLOW_LEAST = 0.5
-SLOW_SAMPLES = 8
-"""A target is slow at this multiple of its siblings' median time to the first byte,
-and this many seconds, over this many answers."""
-EJECTED_SHARE = 1 / 3
-"""Most targets of one entry that are ejected at once, though one of two may be."""
-FIRST_EJECTION = 2.0
-LONGEST_EJECTION = 60.0
-RETURN_GAP = 1.0
-"""Seconds between the returns of two targets of one entry."""
-_FORGIVEN_AFTER = 60.0
-_WEIGHT = 0.2
+"""Multiple of its siblings' median time to the first byte above which a target is
+slow."""
+SLOW_MIN_SECONDS = 0.5
+"""Time to the first byte below which a target is never slow."""
+SLOW_MIN_SAMPLES = 8
+"""Number of answers below which a target is never slow."""
+MAX_EJECTED_SHARE = 1 / 3
+"""Largest share of an entry's targets ejected at once; one of two may always be."""
+FIRST_EJECTION_SECONDS = 2.0
+MAX_EJECTION_SECONDS = 60.0
+RETURN_GAP_SECONDS = 1.0
+"""Shortest time between the returns of two targets of one entry."""
+_RESET_EJECTIONS_SECONDS = 60.0
+"""Time without ejection after which earlier ejections no longer lengthen the next."""
+_MIN_SAMPLE_WEIGHT = 0.2
+"""Smallest weight of a new sample in the smoothed time to the first byte."""
 
 
 class HealthState(StrEnum):
-    """Whether a target is used fully, in part, or not at all."""
+    """Whether a target is used fully, with limited load, or not at all."""
 
     well = "well"
     ejected = "ejected"
@@ -34,15 +38,16 @@
 
 
 class Health(Struct):
-    """How one target has done for this host lately.
+    """Recent failures and response times of one target, as observed by this host.
 
     Attributes:
-        failures: consecutive ones.
-        seconds: smoothed time to the first byte.
-        samples: answers that went into it.
-        ejections: ejections in a row, which lengthen the next one.
-        changed_at: when the state changed last.
-        allowed: requests that a returning target may have of this host.
+        state: whether the target is used.
+        failures: number of consecutive failures.
+        seconds: smoothed time to the first byte, in seconds.
+        samples: number of answers in it.
+        ejections: number of recent ejections, which lengthen the next one.
+        changed_at: time of the last change of state, in monotonic seconds.
+        allowed: maximum number of this host's requests at a returning target.
         successes: answers since `allowed` grew.
     """
 
@@ -56,18 +61,18 @@
     successes: int = 0
 
     def note(self, result: TryResult, seconds: float) -> None:
-        """Count the result of one try."""
+        """Record the result of one try."""
         match result:
             case TryResult.answered:
                 self._note_answer(seconds)
             case TryResult.cancelled | TryResult.refused_by_target:
-                # A caller that left, or a full target, says nothing of its health.
+                # A caller that disconnects, or a full target, is no sign of a fault.
                 return
             case _:
                 self.failures += 1
 
     def eject(self, now: float) -> None:
-        """Give the target no new work for a while."""
+        """Stop using the target for a while."""
         self.state = HealthState.ejected
         self.ejections += 1
         self.changed_at = now
@@ -75,30 +80,33 @@
         self.samples = 0
 
     def begin_return(self, now: float) -> None:
-        """Give the target one request at a time, and more as it answers."""
+        """Allow the target one request at a time, and more as it answers."""
         self.state = HealthState.returning
         self.changed_at = now
         self.allowed = 1
         self.successes = 0
         self.failures = 0
 
-    def ejected_for(self) -> float:
-        """Return the seconds that the present ejection lasts."""
-        doubled = FIRST_EJECTION * 2 ** min(self.ejections - 1, 10)
-        return min(LONGEST_EJECTION, doubled)
+    def ejection_seconds(self) -> float:
+        """Return the duration of the current ejection, in seconds."""
+        doubled = FIRST_EJECTION_SECONDS * 2 ** min(self.ejections - 1, 10)
+        return min(MAX_EJECTION_SECONDS, doubled)
 
     def settle(self, now: float, slots: int) -> None:
-        """Use the target fully once it has borne its whole load, and forgive."""
+        """End the return once all slots are allowed; reset old ejections."""
         if self.state is HealthState.returning and self.allowed >= slots:
             self.state = HealthState.well
             self.changed_at = now
-        if self.state is HealthState.well and now - self.changed_at > _FORGIVEN_AFTER:
+        if (
+            self.state is HealthState.well
+            and now - self.changed_at > _RESET_EJECTIONS_SECONDS
+        ):
             self.ejections = 0
 
     def _note_answer(self, seconds: float) -> None:
         self.failures = 0
         self.samples += 1
-        weight = max(_WEIGHT, 1 / self.samples)
+        weight = max(_MIN_SAMPLE_WEIGHT, 1 / self.samples)
         self.seconds += weight * (seconds - self.seconds)
         if self.state is not HealthState.returning:
             return
@@ -109,57 +117,57 @@
 
 
 def find_ejections(siblings: Iterable[Health]) -> list[Health]:
-    """Return those of one entry's targets that should be ejected, worst first.
+    """Return the targets of an entry that should be ejected, worst first.
 
-    At most a share of them is ejected at once: failures that all targets have in
-    common lie elsewhere, and with every target ejected nothing would be served.
+    At most a share of them is ejected at once: failures common to all targets have
+    another cause, and with every target ejected no request would be served.
     """
-    everyone = list(siblings)
-    out = sum(1 for health in everyone if health.state is HealthState.ejected)
-    bad = [h for h in everyone if h.state is not HealthState.ejected]
-    bad = [health for health in bad if _is_bad(health, everyone)]
-    bad.sort(key=lambda health: (health.failures, health.seconds), reverse=True)
-    return bad[: max(0, most_ejected(len(everyone)) - out)]
+    healths = list(siblings)
+    ejected = sum(1 for health in healths if health.state is HealthState.ejected)
+    failing = [h for h in healths if h.state is not HealthState.ejected]
+    failing = [health for health in failing if _should_eject(health, healths)]
+    failing.sort(key=lambda health: (health.failures, health.seconds), reverse=True)
+    return failing[: max(0, max_ejected(len(healths)) - ejected)]
 
 
-def most_ejected(targets: int) -> int:
-    """Return how many of so many targets may be ejected at once."""
+def max_ejected(targets: int) -> int:
+    """Return the maximum number of targets ejected at once."""
     if targets < 2:
         return 0
-    return max(1, int(targets * EJECTED_SHARE))
+    return max(1, int(targets * MAX_EJECTED_SHARE))
 
 
 def find_return(siblings: Iterable[Health], now: float) -> Health | None:
-    """Return the target of an entry that may come back now, if any.
+    """Return the target of an entry that may return now, if any.
 
-    One after another: targets that were ejected together, for a fault of the network
-    perhaps, would otherwise return together, cold, and fail together again.
+    Targets return one after another. Those that were ejected together, for example
+    by a network fault, would otherwise return together with cold caches and fail again.
     """
-    everyone = list(siblings)
-    returned = [h.changed_at for h in everyone if h.state is HealthState.returning]
-    if returned and now - max(returned) < RETURN_GAP:
+    healths = list(siblings)
+    returned = [h.changed_at for h in healths if h.state is HealthState.returning]
+    if returned and now - max(returned) < RETURN_GAP_SECONDS:
         return None
     due = [
         health
-        for health in everyone
+        for health in healths
         if health.state is HealthState.ejected
-        and now - health.changed_at >= health.ejected_for()
+        and now - health.changed_at >= health.ejection_seconds()
     ]
     return min(due, key=lambda health: health.changed_at, default=None)
 
 
-def _is_bad(health: Health, siblings: list[Health]) -> bool:
-    # Of a returning target one failure is enough: it is on trial.
-    failures = 1 if health.state is HealthState.returning else FAILURES
+def _should_eject(health: Health, siblings: list[Health]) -> bool:
+    # One failure is enough to eject a returning target again.
+    failures = 1 if health.state is HealthState.returning else FAILURES_TO_EJECT
     return health.failures >= failures or _is_slow(health, siblings)
 
 
 def _is_slow(health: Health, siblings: list[Health]) -> bool:
-    if health.samples < SLOW_SAMPLES or health.seconds < SLOW_LEAST:
+    if health.samples < SLOW_MIN_SAMPLES or health.seconds < SLOW_MIN_SECONDS:
         return False
     others = [
         sibling.seconds
         for sibling in siblings
-        if sibling is not health and sibling.samples >= SLOW_SAMPLES
+        if sibling is not health and sibling.samples >= SLOW_MIN_SAMPLES
     ]
     return bool(others) and health.seconds > SLOW_FACTOR * median(others)
--- a/packages/node/src/bronzepoint_node/targets/_host_list.py
+++ b/packages/node/src/bronzepoint_node/targets/_host_list.py
@@ -1,4 +1,4 @@
-"""Reads which target hosts the platform lists as live and which as leaving."""
+"""Reader of the platform's list of live and leaving target hosts."""
 
 import time
 from collections.abc import Callable
@@ -11,21 +11,21 @@
 from bronzepoint_node.targets._byte_budget import ByteBudget
 from bronzepoint_schema.generated.platform import HostList, ListedHost
 
-_TIMEOUT = 5.0
-_BYTES_A_SECOND = 1000.0
-"""The list names all targets of all regions: where it is long, each host reads it
-seldom, and the hosts of a region tell each other what they read."""
+_TIMEOUT_SECONDS = 5.0
+_BYTES_PER_SECOND = 1000.0
+"""Rate at which the list is read. It contains all targets of all regions: when it is
+long, each host reads it rarely, and the hosts of a region exchange what they read."""
 _decoder = msgspec.json.Decoder(HostList)
 
 
 class HostListReader:
-    """Polls the list and hands out its lines.
+    """Polls the list and passes on its entries.
 
     Args:
         address: ``host:port`` of the list.
         http: Connections.
-        interval: Least seconds between two polls.
-        heard: Called with the lines of each answer.
+        interval: Shortest interval between two polls, in seconds.
+        on_hosts: Called with the entries of each answer.
         metrics: Counts polls.
     """
 
@@ -34,15 +34,15 @@
         address: str,
         http: HttpClient,
         interval: float,
-        heard: Callable[[list[ListedHost]], None],
+        on_hosts: Callable[[list[ListedHost]], None],
         metrics: Metrics,
     ) -> None:
         self._address = address
         self._http = http
         self._interval = interval
-        self._heard = heard
+        self._on_hosts = on_hosts
         self._metrics = metrics
-        self._budget = ByteBudget(_BYTES_A_SECOND)
+        self._budget = ByteBudget(_BYTES_PER_SECOND)
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -55,11 +55,11 @@
         self._metrics.incr("targets.list_polls")
         try:
             answer = await self._http.fetch(
-                self._address, "GET", "/hosts", {}, b"", _TIMEOUT
+                self._address, "GET", "/hosts", {}, b"", _TIMEOUT_SECONDS
             )
             listed = _decoder.decode(answer.body)
         except (HttpError, msgspec.MsgspecError) as exc:
             self._metrics.incr(f"targets.list_failed.{type(exc).__name__}")
             return
         self._budget.charge(len(answer.body), time.monotonic())
-        self._heard(listed.hosts)
+        self._on_hosts(listed.hosts)
--- a/packages/node/src/bronzepoint_node/targets/_leaving.py
+++ b/packages/node/src/bronzepoint_node/targets/_leaving.py
@@ -1,105 +1,115 @@
-"""Whether a target is leaving, from three sources that lag and disagree."""
+"""Whether a target is leaving, merged from sources that lag and may disagree."""
 
 from bronzepoint_node.membership import supersedes
 from bronzepoint_schema.generated.membership import NoticeSource, TargetNotice
 from bronzepoint_schema.ids import TargetName
 
-LAG_BOUND = 10.0
-"""Seconds by which a target's reports may lag behind what its answers say."""
-_RENEW_AFTER = 60.0
+MAX_REPORT_LAG_SECONDS = 10.0
+"""Longest time by which a target's reports may lag behind its answers."""
+_RENEW_SECONDS = 60.0
+"""Interval after which an unchanged notice is reported to the other hosts again."""
 
 
-class Leaving:
+class LeavingNotices:
     """Merges the notices of the operator, the host list and the target itself.
 
-    Any one of them makes the target leaving. Within one source the newest notice
-    counts, by that source's own time; no source overrules another: a host list that
-    still says "live" does not bring back a target that said itself that it leaves.
+    A notice of any source marks the target as leaving. Within one source the newest
+    notice counts, by that source's own clock. No source overrides another: a host list
+    that still lists a target as live doesn't cancel the target's own notice.
 
     Args:
         target: The target.
+
+    Attributes:
+        by_operator: Whether the operator has marked the target as leaving.
+        sends_reports: Whether the target has sent a load report.
     """
 
     def __init__(self, target: TargetName) -> None:
         self._target = target
         self._notices: dict[NoticeSource, TargetNotice] = {}
-        self._told: dict[NoticeSource, TargetNotice] = {}
+        self._reported: dict[NoticeSource, TargetNotice] = {}
         self.by_operator = False
-        self.reports = False
+        self.sends_reports = False
 
     @property
     def leaving(self) -> bool:
-        """True where it should get no new work."""
+        """Whether the target should get no new requests."""
         return self.by_operator or any(n.leaving for n in self._notices.values())
 
     @property
     def sources(self) -> list[str]:
-        """Who says that it leaves, always in the same order."""
+        """The sources by which it is leaving, always in the same order."""
         notices = [self._notices.get(source) for source in NoticeSource]
-        said = [n.source.value for n in notices if n and n.leaving]
-        return ["operator", *said] if self.by_operator else said
+        sources = [n.source.value for n in notices if n and n.leaving]
+        return ["operator", *sources] if self.by_operator else sources
 
-    def hear(self, source: NoticeSource, leaving: bool, as_of: float) -> None:
-        """Take one notice, unless a newer one of its source is known.
+    def record(self, source: NoticeSource, leaving: bool, as_of: float) -> None:
+        """Record a notice, unless a newer one of its source is known.
 
         Args:
-            source: Who said it.
-            leaving: What was said.
-            as_of: Unix time by the clock of who said it.
+            source: Source of the notice.
+            leaving: Whether the target is leaving by that source.
+            as_of: Unix time of the notice by the clock of its source.
         """
         self._merge(TargetNotice(self._target, leaving, as_of, source))
 
-    def hear_notice(self, notice: TargetNotice) -> None:
-        """Take the notice that another host heard; it needs no telling again."""
+    def record_from_host(self, notice: TargetNotice) -> None:
+        """Record a notice received from another host; it isn't reported again."""
         if self._merge(notice):
-            self._told[notice.source] = notice
+            self._reported[notice.source] = notice
 
-    def hear_header(self, target_now: float) -> None:
-        """Take the notice of an answer's header: the target is leaving now.
+    def record_header(self, target_now: float) -> None:
+        """Record the notice of an answer's header: the target is leaving now.
 
-        Reports lag, so those that are on their way still say that it stays. The
-        notice gets a time beyond them: taken as of now, the next late report would
-        undo it, and the target would get work until its reports had caught up.
+        Reports lag, so those in transit still state that it isn't leaving. The notice
+        therefore gets a later time than they have. With the current time the next
+        late report would cancel it, and the target would get requests until its
+        reports had caught up.
 
         Args:
-            target_now: Unix time by the target's clock, as far as it is known.
+            target_now: Estimated Unix time by the target's clock.
         """
-        self.hear(NoticeSource.target, True, target_now + LAG_BOUND)
+        self.record(NoticeSource.target, True, target_now + MAX_REPORT_LAG_SECONDS)
 
-    def untold(self) -> list[TargetNotice]:
-        """Return the notices that other hosts should be told, each once and renewed.
+    def take_unreported(self) -> list[TargetNotice]:
+        """Return the notices to report to other hosts, and mark them as reported.
 
-        Nobody needs to be told that a target stays where none said that it leaves.
+        Each notice is reported once, and again when it is to be renewed. A notice
+        that a target isn't leaving is reported only after one that it is.
         """
-        untold = []
+        unreported = []
         for source, notice in self._notices.items():
-            told = self._told.get(source)
-            if told is None and not notice.leaving:
+            reported = self._reported.get(source)
+            if reported is None and not notice.leaving:
                 continue
-            age = notice.as_of - (told or notice).as_of
-            renew = notice.leaving and age > _RENEW_AFTER
-            if told is None or told.leaving != notice.leaving or renew:
-                self._told[source] = notice
-                untold.append(notice)
-        return untold
+            age = notice.as_of - (reported or notice).as_of
+            renew = notice.leaving and age > _RENEW_SECONDS
+            if reported is None or reported.leaving != notice.leaving or renew:
+                self._reported[source] = notice
+                unreported.append(notice)
+        return unreported
 
     def _merge(self, notice: TargetNotice) -> bool:
-        known = self._notices.get(notice.source)
-        if known is not None and not supersedes(notice, known):
+        current = self._notices.get(notice.source)
+        if current is not None and not supersedes(notice, current):
             return False
         self._notices[notice.source] = notice
         if notice.source is NoticeSource.host_list:
-            self._end_own_notice(known, notice)
+            self._clear_own_notice(current, notice)
         return True
 
-    def _end_own_notice(self, known: TargetNotice | None, notice: TargetNotice) -> None:
-        """Let the list end the own notice of a target that gives no reports.
+    def _clear_own_notice(
+        self, current: TargetNotice | None, notice: TargetNotice
+    ) -> None:
+        """Let the host list clear the own notice of a target without load reports.
 
-        A plain service speaks only in its answers, and gets no request while it
-        leaves: it could never say that it is back. A list that has shown it leaving
-        and then shows it live has seen both; one that never noticed has not.
+        A plain service gives notices only in its answers, and gets no requests while
+        it is leaving, so it could never cancel its notice. A list that showed it as
+        leaving and now shows it as live is up to date; a list that never showed it as
+        leaving may be stale, and clears nothing.
         """
-        was_leaving = known is not None and known.leaving
-        if was_leaving and not notice.leaving and not self.reports:
+        was_leaving = current is not None and current.leaving
+        if was_leaving and not notice.leaving and not self.sends_reports:
             self._notices.pop(NoticeSource.target, None)
-            self._told.pop(NoticeSource.target, None)
+            self._reported.pop(NoticeSource.target, None)
--- a/packages/node/src/bronzepoint_node/targets/_poller.py
+++ b/packages/node/src/bronzepoint_node/targets/_poller.py
@@ -1,4 +1,4 @@
-"""Polls of one target: its load, and the events of its cache."""
+"""Polls of one target for its load and its cache events."""
 
 import itertools
 import random
@@ -14,25 +14,25 @@
 from bronzepoint_node.targets._tracked_target import TrackedTarget
 from bronzepoint_schema.generated.platform import CacheEvents, LoadReport
 
-_TIMEOUT = 2.0
-_KEPT_INTERVAL = 4.0
-"""Below this interval a connection is kept from one poll to the next."""
-_LOADS_FOR_EVENTS = 2
-"""Polls of the load for each one of the cache's events."""
+_TIMEOUT_SECONDS = 2.0
+_KEEP_ALIVE_MAX_INTERVAL_SECONDS = 4.0
+"""Longest poll interval for which the connection is kept open between polls."""
+_LOAD_POLLS_PER_EVENT_POLL = 2
+"""Number of load polls for each poll of cache events."""
 _load_decoder = msgspec.json.Decoder(LoadReport)
 _events_decoder = msgspec.json.Decoder(CacheEvents)
 
 
 class Poller:
-    """Polls one target, one poll after another.
+    """Polls one target sequentially.
 
     Args:
-        tracked: Takes what is heard.
+        tracked: Receives the reports and events.
         http: Connections to targets.
-        interval: Returns the seconds between two polls, which depend on how many
-            targets this host polls.
-        events: Bound on the bytes of cache events, shared by all pollers.
-        heard: Called after each report.
+        interval: Returns the seconds between two polls, which depend on the number of
+            targets that this host polls.
+        event_budget: Bound on the bytes of cache events, shared by all pollers.
+        on_report: Called after each report.
         metrics: Counts polls.
     """
 
@@ -41,15 +41,15 @@
         tracked: TrackedTarget,
         http: HttpClient,
         interval: Callable[[], float],
-        events: ByteBudget,
-        heard: Callable[[TrackedTarget], None],
+        event_budget: ByteBudget,
+        on_report: Callable[[TrackedTarget], None],
         metrics: Metrics,
     ) -> None:
         self._tracked = tracked
         self._http = http
         self._interval = interval
-        self._events = events
-        self._heard = heard
+        self._event_budget = event_budget
+        self._on_report = on_report
         self._metrics = metrics
         self._task: curio.Task | None = None
 
@@ -59,7 +59,7 @@
         return self._tracked
 
     async def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
@@ -70,8 +70,8 @@
 
     async def _run(self) -> None:
         await self._poll_load()
-        # All hosts learn of a new target at once; from here on their polls of it
-        # must not come at once too.
+        # All hosts see a new target at the same time. The random delay keeps their
+        # polls of it from coinciding.
         await curio.sleep(random.random() * self._interval())
         for number in itertools.count():
             await self._poll_load()
@@ -80,8 +80,8 @@
             await curio.sleep(self._interval())
 
     def _events_are_due(self, number: int) -> bool:
-        due = number % _LOADS_FOR_EVENTS == 0
-        return due and self._events.wait(time.monotonic()) == 0
+        due = number % _LOAD_POLLS_PER_EVENT_POLL == 0
+        return due and self._event_budget.wait(time.monotonic()) == 0
 
     async def _poll_load(self) -> None:
         body = await self._get("/load")
@@ -93,7 +93,7 @@
             self._metrics.incr("targets.poll_failed.malformed")
             return
         self._tracked.note_report(report, time.time())
-        self._heard(self._tracked)
+        self._on_report(self._tracked)
 
     async def _poll_events(self) -> None:
         memory = self._tracked.memory
@@ -101,7 +101,7 @@
         if body is None:
             return
         now = time.monotonic()
-        self._events.charge(len(body), now)
+        self._event_budget.charge(len(body), now)
         try:
             answer = _events_decoder.decode(body)
         except msgspec.MsgspecError:
@@ -113,21 +113,21 @@
 
     async def _get(self, path: str) -> bytes | None:
         address = self._tracked.target.address
-        fresh = self._interval() > _KEPT_INTERVAL
+        new_connection = self._interval() > _KEEP_ALIVE_MAX_INTERVAL_SECONDS
         self._metrics.incr("targets.polls")
         try:
             answer = await self._http.fetch(
-                address, "GET", path, {}, b"", _TIMEOUT, fresh
+                address, "GET", path, {}, b"", _TIMEOUT_SECONDS, new_connection
             )
         except ConnectFailed:
-            # Whatever comes back at this address is a new process: it numbers its
-            # events from the start, and its cache is cold.
+            # The next process at this address numbers its events from the start, and
+            # its cache is cold.
             self._tracked.failed_polls += 1
-            self._tracked.memory.restart()
+            self._tracked.memory.reset()
             self._metrics.incr("targets.poll_failed.connect")
             return None
         except NotSent:
-            self._tracked.memory.restart()
+            self._tracked.memory.reset()
             self._metrics.incr("targets.poll_failed.not_sent")
             return None
         except HttpError as exc:
--- a/packages/node/src/bronzepoint_node/targets/_pollers.py
+++ b/packages/node/src/bronzepoint_node/targets/_pollers.py
@@ -1,4 +1,4 @@
-"""One poller for each target whose load this host watches."""
+"""The pollers of all targets whose load this host watches."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,33 +9,34 @@
 from bronzepoint_node.targets._tracked_target import TrackedTarget
 from bronzepoint_schema.ids import TargetName
 
-_POLLS_A_SECOND = 2.0
-"""Polls of loads over all targets; with more targets each is polled less often."""
-_EVENT_BYTES_A_SECOND = 2000.0
+_POLLS_PER_SECOND = 2.0
+"""Rate of load polls over all targets; with more targets each is polled less often."""
+_EVENT_BYTES_PER_SECOND = 2000.0
+"""Rate of cache events read over all targets."""
 
 
 class Pollers:
-    """Starts and closes pollers as targets come and go.
+    """Starts and closes pollers as targets are added and removed.
 
     Args:
         http: Connections to targets.
-        least_interval: Seconds between two polls of one target, where they are few.
-        heard: Called after each report.
+        min_interval: Shortest interval between two polls of one target, in seconds.
+        on_report: Called after each report.
         metrics: Counts polls.
     """
 
     def __init__(
         self,
         http: HttpClient,
-        least_interval: float,
-        heard: Callable[[TrackedTarget], None],
+        min_interval: float,
+        on_report: Callable[[TrackedTarget], None],
         metrics: Metrics,
     ) -> None:
         self._http = http
-        self._least_interval = least_interval
-        self._heard = heard
+        self._min_interval = min_interval
+        self._on_report = on_report
         self._metrics = metrics
-        self._events = ByteBudget(_EVENT_BYTES_A_SECOND)
+        self._event_budget = ByteBudget(_EVENT_BYTES_PER_SECOND)
         self._pollers: dict[TargetName, Poller] = {}
 
     async def follow(self, targets: Iterable[TrackedTarget]) -> None:
@@ -59,10 +60,10 @@
             tracked,
             self._http,
             self._interval,
-            self._events,
-            self._heard,
+            self._event_budget,
+            self._on_report,
             self._metrics,
         )
 
     def _interval(self) -> float:
-        return max(self._least_interval, len(self._pollers) / _POLLS_A_SECOND)
+        return max(self._min_interval, len(self._pollers) / _POLLS_PER_SECOND)
--- a/packages/node/src/bronzepoint_node/targets/_targets.py
+++ b/packages/node/src/bronzepoint_node/targets/_targets.py
@@ -34,20 +34,20 @@
 from bronzepoint_schema.ids import EntryName, HostName, Revision, TargetName
 
 LEAVING_HEADER = "x-leaving"
-MOST_BLOCKS = 40_000
-"""Prompt blocks remembered over all targets, about 5 MB."""
-_MOST_BLOCKS_EACH = 4000
-_LEAST_BLOCKS_EACH = 200
-_IDLE_SHARES_INTERVAL = 4.0
-"""Seconds between two looks at the entries that nobody uses."""
-_SETTLE_INTERVAL = 0.5
-_NOT_LEAVING = ("", "0")
+MAX_BLOCKS = 40_000
+"""Number of prompt blocks remembered over all targets, which take about 5 MB."""
+_MAX_BLOCKS_PER_TARGET = 4000
+_MIN_BLOCKS_PER_TARGET = 200
+_IDLE_ENTRY_INTERVAL_SECONDS = 4.0
+"""Interval at which the shares of unused entries are computed again."""
+_UPDATE_INTERVAL_SECONDS = 0.5
+_NOT_LEAVING_VALUES = ("", "0")
 Entry = ModelEntry | ServiceEntry
 _log = get_logger("targets")
 
 
 class Catalogue(Protocol):
-    """What is read of the catalogue."""
+    """The part of the catalogue that is read here."""
 
     revision: Revision
 
@@ -56,11 +56,11 @@
 
 
 class Targets:
-    """Watches a bounded part of the region's targets and counts what is sent there.
+    """Watches a bounded subset of the region's targets and counts requests to them.
 
     Args:
-        settings: Region, platform services and the time between polls.
-        catalogue: Names the targets.
+        settings: Region, platform services and the interval of polls.
+        catalogue: Lists the targets.
         membership: Hosts that share the targets, and their notices.
         http: Connections to targets and to the host list.
         metrics: Counts polls, ejections and returns.
@@ -83,19 +83,19 @@
         self._entries: dict[EntryName, list[TargetName]] = {}
         self._region_sizes: dict[EntryName, int] = {}
         self._pollers = Pollers(
-            http, settings.platform.poll, self._after_notice, metrics
+            http, settings.platform.poll, self._publish_notices, metrics
         )
         self._entries_of: dict[TargetName, list[EntryName]] = {}
-        self._used: set[TargetName] = set()
+        self._active: set[TargetName] = set()
         self._shares: dict[EntryName, EntryShare] = {}
-        self._shares_due = 0.0
-        self._chosen_hosts: list[HostName] = []
-        self._chosen_revision: Revision | None = None
+        self._all_shares_due = 0.0
+        self._applied_hosts: list[HostName] = []
+        self._applied_revision: Revision | None = None
         self._tasks = curio.TaskGroup()
-        membership.on_notice(self._hear_notice)
+        membership.on_notice(self._on_notice)
 
     async def start(self) -> None:
-        """Begin to watch."""
+        """Start watching."""
         await self._tasks.spawn(self._run)
         platform = self._settings.platform
         if platform.host_list:
@@ -103,7 +103,7 @@
                 platform.host_list,
                 self._http,
                 platform.poll,
-                self._hear_list,
+                self._on_host_list,
                 self._metrics,
             )
             await self._tasks.spawn(reader.run)
@@ -116,7 +116,7 @@
     def views(
         self, entry: EntryName, prefix_hashes: list[str] | None = None
     ) -> list[TargetView]:
-        """Return this host's targets of an entry, as they are now.
+        """Return the current views of this host's targets of an entry.
 
         Args:
             entry: The entry.
@@ -124,22 +124,22 @@
         """
         hashes = prefix_hashes or []
         now, unix_time = time.monotonic(), time.time()
-        tracked = self._siblings(entry)
+        tracked = self._tracked_for(entry)
         views = [each.view(hashes, now, unix_time) for each in tracked]
         if views and all(view.state is TargetState.unknown for view in views):
-            # With no connection to any of them the fault may be the polls' own; a
-            # try tells, and one that can't connect has not run.
+            # When no target can be reached, the polls themselves may be at fault. A
+            # try finds out, and one that can't connect has not run.
             for view in views:
                 view.state = TargetState.ready
         return views
 
     def begin(self, name: TargetName, prefix_hashes: list[str] | None = None) -> None:
-        """Count a request that is about to be sent; call it before any await."""
+        """Count a request that is about to be sent; call this before any await."""
         tracked = self._tracked.get(name)
         if tracked is None:
             return
         tracked.in_flight.change(1, time.time())
-        self._used.add(name)
+        self._active.add(name)
         if prefix_hashes:
             tracked.memory.note_sent(prefix_hashes, time.monotonic())
 
@@ -149,46 +149,46 @@
         Args:
             name: The target.
             result: How the try ended.
-            seconds: From the sending to the first byte of the answer.
+            seconds: Time from sending to the first byte of the answer.
         """
         tracked = self._tracked.get(name)
         if tracked is None:
             return
         tracked.in_flight.change(-1, time.time())
         tracked.health.note(result, seconds)
-        self._eject(name)
+        self._eject_failing(name)
 
     def note_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
-        """Take a target's own notice from the headers of any of its answers."""
+        """Record the notice of a target in the headers of any of its answers."""
         tracked = self._tracked.get(name)
         if tracked is None:
             return
-        if headers.get(LEAVING_HEADER, "") not in _NOT_LEAVING:
-            tracked.leaving.hear_header(tracked.target_now(time.time()))
-            self._after_notice(tracked)
+        if headers.get(LEAVING_HEADER, "") not in _NOT_LEAVING_VALUES:
+            tracked.leaving.record_header(tracked.target_now(time.time()))
+            self._publish_notices(tracked)
 
     def shares(self) -> list[EntryShare]:
-        """Return this host's part of each entry's load, for `Membership.publish`.
+        """Return this host's share of each entry's load, for `Membership.publish`.
 
-        The slots are those of the whole region, estimated from the part that this
-        host watches; the requests are this host's own, without any that it queues.
+        The slots are those of the whole region, estimated from the subset that this
+        host watches. The requests are this host's own, without queued ones.
         """
         now = time.monotonic()
-        if now >= self._shares_due:
-            self._shares_due = now + _IDLE_SHARES_INTERVAL
+        if now >= self._all_shares_due:
+            self._all_shares_due = now + _IDLE_ENTRY_INTERVAL_SECONDS
             changed = set(self._entries)
         else:
-            # Hundreds of entries may be declared and few of them in use; to sum up all
-            # of them twice a second was over half of an idle host's work.
-            used = (self._entries_of.get(name, ()) for name in self._used)
-            changed = {entry for entries in used for entry in entries}
+            # Hundreds of entries may be declared and few of them in use. Summing up
+            # all of them twice a second took over half of an idle host's CPU time.
+            active = (self._entries_of.get(name, ()) for name in self._active)
+            changed = {entry for entries in active for entry in entries}
         for entry in changed:
             self._shares[entry] = self._share(entry)
-        self._used = {n for n in self._used if self._is_in_flight(n)}
+        self._active = {n for n in self._active if self._is_in_flight(n)}
         return list(self._shares.values())
 
     def _share(self, entry: EntryName) -> EntryShare:
-        tracked = self._siblings(entry)
+        tracked = self._tracked_for(entry)
         ready = [each for each in tracked if each.state is TargetState.ready]
         scale = self._region_sizes[entry] / max(1, len(tracked))
         costs = [each.target.cost for each in ready]
@@ -204,32 +204,32 @@
         return tracked is not None and tracked.in_flight.count > 0
 
     def statuses(self) -> list[TargetStatus]:
-        """Return all targets that this host watches, for operators."""
+        """Return the state of all targets that this host watches, for operators."""
         unix_time = time.time()
         return [
             _make_status(entry, each, unix_time)
             for entry in sorted(self._entries)
-            for each in self._siblings(entry)
+            for each in self._tracked_for(entry)
         ]
 
     async def _run(self) -> None:
         while True:
             await self._follow_catalogue()
-            self._settle()
-            await curio.sleep(_SETTLE_INTERVAL)
+            self._update_states()
+            await curio.sleep(_UPDATE_INTERVAL_SECONDS)
 
     async def _follow_catalogue(self) -> None:
-        """Watch the targets that the catalogue names now, as far as they are ours."""
+        """Watch this host's subset of the targets in the current catalogue."""
         hosts, revision = self._sharing_hosts(), self._catalogue.revision
-        if hosts == self._chosen_hosts and revision == self._chosen_revision:
+        if hosts == self._applied_hosts and revision == self._applied_revision:
             return
-        self._chosen_hosts, self._chosen_revision = hosts, revision
+        self._applied_hosts, self._applied_revision = hosts, revision
         entries = [i for i in self._catalogue.items() if isinstance(i, Entry)]
         wanted: dict[TargetName, Target] = {}
         polled: set[TargetName] = set()
         self._entries = {}
         for entry in entries:
-            targets = self._choose(entry, hosts)
+            targets = self._choose_targets(entry, hosts)
             self._entries[entry.name] = [target.name for target in targets]
             wanted.update({target.name: target for target in targets})
             if isinstance(entry, ModelEntry):
@@ -240,10 +240,10 @@
             for name in names:
                 self._entries_of[name].append(entry_name)
         self._shares.clear()
-        self._shares_due = 0.0
+        self._all_shares_due = 0.0
         await self._pollers.follow(self._tracked[name] for name in polled)
 
-    def _choose(self, entry: Entry, hosts: list[HostName]) -> list[Target]:
+    def _choose_targets(self, entry: Entry, hosts: list[HostName]) -> list[Target]:
         own_region = self._settings.host.region
         targets = {t.name: t for t in entry.targets if t.region == own_region}
         self._region_sizes[entry.name] = len(targets)
@@ -251,47 +251,47 @@
         return [targets[name] for name in chosen]
 
     def _sharing_hosts(self) -> list[HostName]:
-        """Return the hosts of the region that share its targets, with this one."""
+        """Return the hosts of the region that share its targets, this one included."""
         own = self._settings.host.name
-        gone = (HostState.dead, HostState.draining)
+        excluded = (HostState.dead, HostState.draining)
         infos = self._membership.region_hosts()
-        return [i.name for i in infos if i.state not in gone or i.name == own]
+        return [i.name for i in infos if i.state not in excluded or i.name == own]
 
     def _watch(self, wanted: dict[TargetName, Target]) -> None:
-        each = MOST_BLOCKS // max(1, len(wanted))
-        blocks = min(_MOST_BLOCKS_EACH, max(_LEAST_BLOCKS_EACH, each))
+        each = MAX_BLOCKS // max(1, len(wanted))
+        blocks = min(_MAX_BLOCKS_PER_TARGET, max(_MIN_BLOCKS_PER_TARGET, each))
         for name, target in wanted.items():
             tracked = self._tracked.get(name)
             if tracked is None or tracked.update(target):
                 tracked = TrackedTarget(target, blocks)
                 tracked.update(target)
                 self._tracked[name] = tracked
-                self._recall_notices(tracked)
-            tracked.memory.most_blocks = blocks
+                self._apply_known_notices(tracked)
+            tracked.memory.max_blocks = blocks
         for name in list(self._tracked):
-            # A request in progress still ends in `finish`, which needs the count.
+            # `finish` of a request in progress still needs the count.
             if name not in wanted and self._tracked[name].in_flight.count == 0:
                 del self._tracked[name]
 
-    def _siblings(self, entry: EntryName) -> list[TrackedTarget]:
+    def _tracked_for(self, entry: EntryName) -> list[TrackedTarget]:
         return [self._tracked[name] for name in self._entries.get(entry, ())]
 
-    def _settle(self) -> None:
+    def _update_states(self) -> None:
         now = time.monotonic()
         for tracked in self._tracked.values():
-            tracked.settle(now)
+            tracked.update_state(now)
         for entry in self._entries:
-            due = find_return([t.health for t in self._siblings(entry)], now)
-            if due is not None:
-                due.begin_return(now)
+            returning = find_return([t.health for t in self._tracked_for(entry)], now)
+            if returning is not None:
+                returning.begin_return(now)
                 self._metrics.incr("targets.returned")
 
-    def _eject(self, name: TargetName) -> None:
+    def _eject_failing(self, name: TargetName) -> None:
         now = time.monotonic()
         for entry, names in self._entries.items():
             if name not in names:
                 continue
-            tracked = self._siblings(entry)
+            tracked = self._tracked_for(entry)
             for health in find_ejections([each.health for each in tracked]):
                 failing = next(t for t in tracked if t.health is health)
                 _log.warning(
@@ -303,30 +303,30 @@
                 health.eject(now)
                 self._metrics.incr("targets.ejected")
 
-    def _hear_list(self, lines: list[ListedHost]) -> None:
-        for line in lines:
-            tracked = self._tracked.get(line.name)
-            leaving = line.state is ListedState.leaving
+    def _on_host_list(self, listed_hosts: list[ListedHost]) -> None:
+        for listed in listed_hosts:
+            tracked = self._tracked.get(listed.name)
+            leaving = listed.state is ListedState.leaving
             if tracked is not None:
-                tracked.leaving.hear(NoticeSource.host_list, leaving, line.as_of)
-                self._after_notice(tracked)
+                tracked.leaving.record(NoticeSource.host_list, leaving, listed.as_of)
+                self._publish_notices(tracked)
 
-    def _hear_notice(self, notice: TargetNotice) -> None:
+    def _on_notice(self, notice: TargetNotice) -> None:
         tracked = self._tracked.get(notice.target)
         if tracked is not None:
-            tracked.leaving.hear_notice(notice)
-            tracked.settle(time.monotonic())
+            tracked.leaving.record_from_host(notice)
+            tracked.update_state(time.monotonic())
 
-    def _recall_notices(self, tracked: TrackedTarget) -> None:
+    def _apply_known_notices(self, tracked: TrackedTarget) -> None:
         for notice in self._membership.notices():
             if notice.target == tracked.target.name:
-                tracked.leaving.hear_notice(notice)
+                tracked.leaving.record_from_host(notice)
 
-    def _after_notice(self, tracked: TrackedTarget) -> None:
-        tracked.settle(time.monotonic())
-        for notice in tracked.leaving.untold():
+    def _publish_notices(self, tracked: TrackedTarget) -> None:
+        tracked.update_state(time.monotonic())
+        for notice in tracked.leaving.take_unreported():
             _log.info(
-                "Target leaving" if notice.leaving else "Target stays",
+                "Target leaving" if notice.leaving else "Target no longer leaving",
                 target=notice.target,
                 source=notice.source,
             )
--- a/packages/node/src/bronzepoint_node/targets/_tracked_target.py
+++ b/packages/node/src/bronzepoint_node/targets/_tracked_target.py
@@ -1,90 +1,91 @@
-"""All that this host knows of one target."""
+"""State of one target as observed by this host."""
 
 import math
 
 from bronzepoint_node.policy import TargetState, TargetView
 from bronzepoint_node.targets._ejection import Health, HealthState
 from bronzepoint_node.targets._in_flight import InFlight
-from bronzepoint_node.targets._leaving import Leaving
-from bronzepoint_node.targets._prefix_memory import PrefixMemory
+from bronzepoint_node.targets._leaving import LeavingNotices
+from bronzepoint_node.targets._prefix_cache_estimate import PrefixCacheEstimate
 from bronzepoint_schema.generated.catalogue import Target
 from bronzepoint_schema.generated.membership import NoticeSource
 from bronzepoint_schema.generated.platform import LoadReport
 
 UNREACHABLE_POLLS = 3
-"""Polls in a row that could not connect, after which a target gets no new work."""
+"""Number of consecutive polls without a connection after which a target gets no new
+requests."""
 
 
 class TrackedTarget:
-    """One target as this host sees it.
+    """One target as observed by this host.
 
     Args:
-        target: What the catalogue says of it.
-        most_blocks: Prompt blocks remembered of it.
+        target: Its definition in the catalogue.
+        max_blocks: Maximum number of prompt blocks remembered for it.
     """
 
-    def __init__(self, target: Target, most_blocks: int) -> None:
+    def __init__(self, target: Target, max_blocks: int) -> None:
         self.target = target
         self.in_flight = InFlight()
         self.health = Health()
-        self.leaving = Leaving(target.name)
-        self.memory = PrefixMemory(most_blocks)
+        self.leaving = LeavingNotices(target.name)
+        self.memory = PrefixCacheEstimate(max_blocks)
         self.report: LoadReport | None = None
         self.failed_polls = 0
         self._reported_at = 0.0
-        self._was_away = False
+        self._was_unavailable = False
 
     def update(self, target: Target) -> bool:
-        """Take what the catalogue says now; True where it is another process."""
+        """Apply a new definition; return True where its address has changed."""
         moved = target.address != self.target.address
         self.target = target
         self.leaving.by_operator = target.leaving
         return moved
 
     def note_report(self, report: LoadReport, unix_time: float) -> None:
-        """Take a load report, unless a later one is known."""
+        """Record a load report, unless a newer one is known."""
         self.failed_polls = 0
-        self.leaving.reports = True
-        self.leaving.hear(NoticeSource.target, report.leaving, report.as_of)
+        self.leaving.sends_reports = True
+        self.leaving.record(NoticeSource.target, report.leaving, report.as_of)
         if self.report is None or report.as_of >= self.report.as_of:
             self.report = report
             self._reported_at = unix_time
 
     def target_now(self, unix_time: float) -> float:
-        """Return the time by the target's clock, as far as its reports tell it.
+        """Estimate the Unix time by the target's clock from its last report.
 
-        A report is older than its arrival says, by its lag: the value is too low by
-        as much, and `LAG_BOUND` allows for that.
+        A report is older than its arrival time by its lag. The estimate is too low by
+        that lag, and `MAX_REPORT_LAG_SECONDS` allows for it.
         """
         if self.report is None:
             return unix_time
         return self.report.as_of + (unix_time - self._reported_at)
 
-    def settle(self, now: float) -> None:
-        """Let a target that has just come back have its load slowly.
+    def update_state(self, now: float) -> None:
+        """Limit the load of a target that has just become available again.
 
-        All hosts learn of its return at the same time, and its cache is cold.
+        All hosts see its return at the same time, and its cache is cold.
         """
-        away = self.leaving.leaving or not self.reachable
-        if self._was_away and not away:
+        unavailable = self.leaving.leaving or not self.reachable
+        if self._was_unavailable and not unavailable:
             self.health.begin_return(now)
-        self._was_away = away
+        self._was_unavailable = unavailable
         self.health.settle(now, self.slots)
 
     @property
     def slots(self) -> int:
-        """Requests that it works on at once, by its own report where there is one."""
+        """Requests that it runs at once, by its own report where there is one."""
         return self.target.slots if self.report is None else max(1, self.report.slots)
 
     @property
     def reachable(self) -> bool:
-        """False where polls failed to connect."""
-        most = 1 if self.report is None else UNREACHABLE_POLLS
-        return self.failed_polls < most
+        """Whether recent polls could connect."""
+        max_failed = 1 if self.report is None else UNREACHABLE_POLLS
+        return self.failed_polls < max_failed
 
     @property
     def state(self) -> TargetState:
-        """Whether it may get new work."""
+        """Whether it may get new requests, and if not, why."""
         if self.leaving.leaving:
             return TargetState.leaving
         if self.health.state is HealthState.ejected:
@@ -94,7 +95,7 @@
         return TargetState.ready
 
     def view(self, hashes: list[str], now: float, unix_time: float) -> TargetView:
-        """Return what the policy weighs.
+        """Return the view of the target that the policy uses.
 
         Args:
             hashes: Hashes of the prompt's blocks.
--- a/tests/_stand_in_target.py
+++ b/tests/_stand_in_target.py
@@ -1,4 +1,4 @@
-"""A target of the users' platform as a stand-in."""
+"""A stub of a target on the users' platform."""
 
 from collections import Counter
 
@@ -7,19 +7,19 @@
 from bronzepoint_common.http import HttpLimits, HttpServer
 
 LATE_BREAK = 0.75
-"""Seconds after which a stream breaks that is to break past its deadline."""
+"""Delay after which a stream breaks that has to break after its deadline."""
 CRASHED = 20.0
-"""Seconds for which a request waits whose target crashes; the crash cuts it."""
+"""Upper bound on the wait of a request at a crashing target; the crash ends it."""
 
 
 class StandInTarget:
-    """A target: answers as its script says, and notes what reached it.
+    """A target that answers by a script and records the requests it receives.
 
     Attributes:
-        script: For each request in turn a name of an answer; then all are served.
-        seen: Head of each request that reached it.
-        ran: How often it began to work on each request, by its id.
-        cut: Requests whose caller left.
+        script: Names of the actions for the next requests; later ones are served.
+        seen: Head of each received request.
+        ran: Number of times that each request was started, by its id.
+        cut: Number of requests whose caller disconnected.
     """
 
     def __init__(self, name, ip, port):
@@ -52,14 +52,14 @@
                 await self._stream(exchange, headers, 2)
                 await exchange.abort()
             case "break_late":
-                # Between the deadline that the test sets and the end of the overtime.
+                # After the test's deadline and before the end of the grace period.
                 await self._stream(exchange, headers, 2)
                 await curio.sleep(LATE_BREAK)
                 await exchange.abort()
             case "crash":
                 await self._stream(exchange, headers, 2)
-                # As with a real crash, nothing listens any more when the stream breaks:
-                # the end of the server cuts this exchange.
+                # As after a real crash, no process listens when the stream breaks:
+                # closing the server ends this exchange.
                 await curio.spawn(self.server.close, 0, daemon=True)
                 await curio.sleep(CRASHED)
             case "serve":
--- a/tests/test_targets_leaving.py
+++ b/tests/test_targets_leaving.py
@@ -1,4 +1,4 @@
-"""A target that leaves, by three sources that lag and disagree."""
+"""Tests of leaving targets, by three sources that lag and disagree."""
 
 import time
 import unittest
@@ -12,7 +12,7 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.policy import TargetState
 from bronzepoint_node.targets import Targets
-from bronzepoint_node.targets._leaving import LAG_BOUND, Leaving
+from bronzepoint_node.targets._leaving import MAX_REPORT_LAG_SECONDS, LeavingNotices
 from bronzepoint_schema.generated.catalogue import ModelEntry, Route, ServiceEntry
 from bronzepoint_schema.generated.catalogue import Target as CatalogueTarget
 from bronzepoint_schema.generated.membership import NoticeSource, TargetNotice
@@ -31,7 +31,7 @@
 
 
 class FakeHttp:
-    """Answers polls as engines and the host list do, with their lag."""
+    """Answers polls of engines and of the host list, with a lag."""
 
     def __init__(self) -> None:
         self.leaving: set[str] = set()
@@ -86,7 +86,7 @@
 
 
 class Hosts:
-    """Targets of three hosts that share one platform."""
+    """The `Targets` of three hosts that share one platform."""
 
     def __init__(self) -> None:
         self.http = FakeHttp()
@@ -108,7 +108,9 @@
         tracked = [t._tracked[target] for t in self.targets.values()]
         return {tuple(each.leaving.sources) for each in tracked}
 
-    async def become(self, state: TargetState, target: str, entry: str = "m") -> None:
+    async def wait_for_state(
+        self, state: TargetState, target: str, entry: str = "m"
+    ) -> None:
         await until(lambda: self.states(target, entry) == {state})
 
     def run(self, scenario: Callable[["Hosts"], Awaitable[None]]) -> None:
@@ -117,8 +119,8 @@
             for targets in self.targets.values():
                 await targets.start()
             try:
-                await self.become(TargetState.ready, "e0")
-                await self.become(TargetState.ready, "s0", "s")
+                await self.wait_for_state(TargetState.ready, "e0")
+                await self.wait_for_state(TargetState.ready, "s0", "s")
                 await scenario(self)
             finally:
                 for targets in self.targets.values():
@@ -129,30 +131,29 @@
 
 
 class TestThreeSources(unittest.TestCase):
-    """Each source alone takes a target out on every host.
+    """A notice of any one source marks a target as leaving on every host.
 
-    Symptom: a target that is shut down cuts requests that came after it had said so.
-    Sequence: the operator, the platform or the target itself says that it leaves; the
-    other two sources lag and still say that it stays. Cause: taking the newest or the
-    most frequent word in place of each source's own newest notice.
+    The operator, the platform or the target itself gives notice, while the other two
+    sources lag and still show it as live. If the newest or the most frequent state of
+    all sources counted, requests would be sent to a target that is shutting down.
     """
 
     def test_by_operator(self) -> None:
         async def scenario(hosts: Hosts) -> None:
             hosts.http.listed["e0"] = ListedState.live
             hosts.catalogue.set_leaving(True)
-            await hosts.become(TargetState.leaving, "e0")
+            await hosts.wait_for_state(TargetState.leaving, "e0")
             hosts.catalogue.set_leaving(False)
-            await hosts.become(TargetState.ready, "e0")
+            await hosts.wait_for_state(TargetState.ready, "e0")
 
         Hosts().run(scenario)
 
     def test_by_host_list(self) -> None:
         async def scenario(hosts: Hosts) -> None:
             hosts.http.listed["e0"] = ListedState.leaving
-            await hosts.become(TargetState.leaving, "e0")
+            await hosts.wait_for_state(TargetState.leaving, "e0")
             hosts.http.listed["e0"] = ListedState.live
-            await hosts.become(TargetState.ready, "e0")
+            await hosts.wait_for_state(TargetState.ready, "e0")
 
         Hosts().run(scenario)
 
@@ -160,9 +161,9 @@
         async def scenario(hosts: Hosts) -> None:
             hosts.http.listed["e0"] = ListedState.live
             hosts.http.leaving.add("e0:1")
-            await hosts.become(TargetState.leaving, "e0")
+            await hosts.wait_for_state(TargetState.leaving, "e0")
             hosts.http.leaving.clear()
-            await hosts.become(TargetState.ready, "e0")
+            await hosts.wait_for_state(TargetState.ready, "e0")
 
         Hosts().run(scenario)
 
@@ -170,50 +171,50 @@
         async def scenario(hosts: Hosts) -> None:
             hosts.http.listed["s0"] = ListedState.live
             hosts.targets["bkk-1"].note_answer("s0", {"x-leaving": "1"})
-            await hosts.become(TargetState.leaving, "s0", "s")
+            await hosts.wait_for_state(TargetState.leaving, "s0", "s")
             for _ in range(5):
                 await curio.sleep(0.05)
                 self.assertEqual(hosts.states("s0", "s"), {TargetState.leaving})
-            # The list sees it leave, and then return: only then is it back.
+            # It is ready again only after the list has shown it leaving and then live.
             hosts.http.listed["s0"] = ListedState.leaving
             await until(lambda: hosts.sources("s0") == {("target", "host_list")})
             hosts.http.listed["s0"] = ListedState.live
-            await hosts.become(TargetState.ready, "s0", "s")
+            await hosts.wait_for_state(TargetState.ready, "s0", "s")
 
         Hosts().run(scenario)
 
     def test_returning_target_gets_one_request_at_a_time_first(self) -> None:
-        """A target comes back and all hosts learn of it together.
+        """A returning target must not get its whole load at once.
 
-        Symptom: it falls over at once, for its cache is cold. Cause: every host gives
-        it a whole share of the load in the same second.
+        All hosts see its return at the same time, and its cache is cold. With a full
+        share of the load from every host it would be overloaded.
         """
 
         async def scenario(hosts: Hosts) -> None:
             hosts.catalogue.set_leaving(True)
-            await hosts.become(TargetState.leaving, "e0")
+            await hosts.wait_for_state(TargetState.leaving, "e0")
             hosts.catalogue.set_leaving(False)
-            await hosts.become(TargetState.ready, "e0")
+            await hosts.wait_for_state(TargetState.ready, "e0")
             view = hosts.targets["bkk-0"].views("m")[0]
             self.assertEqual((view.name, view.allowed), ("e0", 1))
 
         Hosts().run(scenario)
 
-    def test_unreachable_target_gets_nothing_and_its_siblings_do(self) -> None:
+    def test_unreachable_target_is_unknown_and_its_siblings_ready(self) -> None:
         async def scenario(hosts: Hosts) -> None:
             hosts.http.down.add("e1:1")
-            await hosts.become(TargetState.unknown, "e1")
+            await hosts.wait_for_state(TargetState.unknown, "e1")
             self.assertEqual(hosts.states("e2"), {TargetState.ready})
             hosts.http.down.clear()
-            await hosts.become(TargetState.ready, "e1")
+            await hosts.wait_for_state(TargetState.ready, "e1")
 
         Hosts().run(scenario)
 
     def test_with_no_target_reachable_all_may_be_tried(self) -> None:
-        """Polls fail everywhere, as when this host is short of descriptors.
+        """Failing polls of all targets must not refuse every request.
 
-        Symptom: every request is refused though the targets would answer. Cause:
-        believing the polls where they can't be right about all of them.
+        The polls may fail although the targets would answer, for example when this
+        host is out of file descriptors.
         """
 
         async def scenario(hosts: Hosts) -> None:
@@ -243,54 +244,53 @@
 
 class TestLeaving(unittest.TestCase):
     def setUp(self) -> None:
-        self.leaving = Leaving("t")
-        self.leaving.reports = True
+        self.leaving = LeavingNotices("t")
+        self.leaving.sends_reports = True
 
-    def test_late_report_does_not_undo_the_header(self) -> None:
-        """Reports are five seconds late.
+    def test_late_report_does_not_cancel_the_header(self) -> None:
+        """A report from before the header must not cancel the header's notice.
 
-        Symptom: the target gets requests again a second after it said in an answer
-        that it leaves. Sequence: the header; then a report of the time before it.
-        Cause: comparing when notices arrive, not which time they speak of.
+        Reports are five seconds late. If notices were compared by their arrival, the
+        target would get requests again a second after its header.
         """
-        self.leaving.hear(NoticeSource.target, False, 100.0)
-        self.leaving.hear_header(101.0)
-        self.leaving.hear(NoticeSource.target, False, 102.0)
+        self.leaving.record(NoticeSource.target, False, 100.0)
+        self.leaving.record_header(101.0)
+        self.leaving.record(NoticeSource.target, False, 102.0)
         self.assertTrue(self.leaving.leaving)
-        self.leaving.hear(NoticeSource.target, False, 102.0 + LAG_BOUND)
+        self.leaving.record(NoticeSource.target, False, 102.0 + MAX_REPORT_LAG_SECONDS)
         self.assertFalse(self.leaving.leaving)
 
     @params((99.0, True), (101.0, False))
-    def test_notice_of_another_host(self, as_of: float, stays: bool) -> None:
-        self.leaving.hear(NoticeSource.target, False, 100.0)
-        self.leaving.hear_notice(TargetNotice("t", True, as_of))
-        self.assertIs(self.leaving.leaving, not stays)
-
-    def test_stale_list_does_not_bring_back(self) -> None:
-        self.leaving.reports = False
-        self.leaving.hear_header(100.0)
-        self.leaving.hear(NoticeSource.host_list, False, 500.0)
+    def test_notice_of_another_host(self, as_of: float, is_cancelled: bool) -> None:
+        self.leaving.record(NoticeSource.target, False, 100.0)
+        self.leaving.record_from_host(TargetNotice("t", True, as_of))
+        self.assertIs(self.leaving.leaving, not is_cancelled)
+
+    def test_stale_list_does_not_cancel_the_notice(self) -> None:
+        self.leaving.sends_reports = False
+        self.leaving.record_header(100.0)
+        self.leaving.record(NoticeSource.host_list, False, 500.0)
         self.assertTrue(self.leaving.leaving)
         self.assertEqual(self.leaving.sources, ["target"])
-        self.leaving.hear(NoticeSource.host_list, True, 501.0)
-        self.leaving.hear(NoticeSource.host_list, False, 502.0)
+        self.leaving.record(NoticeSource.host_list, True, 501.0)
+        self.leaving.record(NoticeSource.host_list, False, 502.0)
         self.assertFalse(self.leaving.leaving)
 
-    def test_sources_are_named_in_one_order(self) -> None:
-        self.leaving.hear(NoticeSource.host_list, True, 100.0)
-        self.leaving.hear(NoticeSource.target, True, 100.0)
+    def test_sources_have_a_fixed_order(self) -> None:
+        self.leaving.record(NoticeSource.host_list, True, 100.0)
+        self.leaving.record(NoticeSource.target, True, 100.0)
         self.leaving.by_operator = True
         self.assertEqual(self.leaving.sources, ["operator", "target", "host_list"])
 
-    def test_each_notice_is_told_once_and_renewed(self) -> None:
-        self.leaving.hear(NoticeSource.target, False, 100.0)
-        self.assertEqual(self.leaving.untold(), [])
-        self.leaving.hear(NoticeSource.target, True, 101.0)
-        self.assertEqual(len(self.leaving.untold()), 1)
-        self.leaving.hear(NoticeSource.target, True, 102.0)
-        self.assertEqual(self.leaving.untold(), [])
-        self.leaving.hear(NoticeSource.target, True, 170.0)
-        self.assertEqual(len(self.leaving.untold()), 1)
-        self.leaving.hear(NoticeSource.target, False, 171.0)
-        [notice] = self.leaving.untold()
+    def test_each_notice_is_reported_once_and_renewed(self) -> None:
+        self.leaving.record(NoticeSource.target, False, 100.0)
+        self.assertEqual(self.leaving.take_unreported(), [])
+        self.leaving.record(NoticeSource.target, True, 101.0)
+        self.assertEqual(len(self.leaving.take_unreported()), 1)
+        self.leaving.record(NoticeSource.target, True, 102.0)
+        self.assertEqual(self.leaving.take_unreported(), [])
+        self.leaving.record(NoticeSource.target, True, 170.0)
+        self.assertEqual(len(self.leaving.take_unreported()), 1)
+        self.leaving.record(NoticeSource.target, False, 171.0)
+        [notice] = self.leaving.take_unreported()
         self.assertFalse(notice.leaving)
--- a/tests/test_targets_processes.py
+++ b/tests/test_targets_processes.py
@@ -1,4 +1,4 @@
-"""Targets that leave, fail and return, with real daemons and stand-in engines."""
+"""Tests of leaving, failing and returning targets with daemons and stub engines."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 ENGINE = "bkk-engine-1"
 SIBLING = "bkk-engine-2"
 SERVICE = "bkk-phrases"
-LATE = 3600.0
-"""Seconds by which an engine's reports lag in one test: none comes in time."""
+REPORT_LAG_SECONDS = 3600.0
+"""Lag of an engine's reports in one test; with it none arrives during the test."""
 
 
 class TargetCase(unittest.TestCase):
-    """One deployment for all tests of a class; each leaves it as it was."""
+    """One deployment for all tests of a class; each test restores its state."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -25,7 +25,7 @@
         cls.deployment.start()
 
     def states(self, target: str) -> set[str]:
-        """How the hosts of the region see a target."""
+        """Return the states of a target on the hosts of the region."""
         rows = [
             row
             for host in HOSTS
@@ -37,7 +37,7 @@
         wait_until(lambda: self.states(target) == {state}, f"{target} is {state}")
 
     def wait_list_polls(self, times: int) -> None:
-        """Wait until every host has read the platform's list some times more."""
+        """Wait until every host has read the platform's list a number of times."""
 
         def polls(host: str) -> int:
             counters = self.deployment.operator(host).counters()["counters"]
@@ -49,8 +49,8 @@
             "every host has read the list",
         )
 
-    def ask(self, times: int = 4) -> None:
-        """Ask through every host; every request must be answered."""
+    def send_requests(self, times: int = 4) -> None:
+        """Send requests through every host; every request must be answered."""
         for number in range(times):
             for host in HOSTS:
                 prompt = f"question {number} through {host}"
@@ -60,19 +60,18 @@
     def run_count(self, target: str) -> int:
         return sum(self.deployment.targets.counts(target).requests.values())
 
-    def assert_gets_nothing(self, target: str) -> None:
+    def assert_gets_no_requests(self, target: str) -> None:
         before = self.run_count(target)
-        self.ask()
+        self.send_requests()
         self.assertEqual(self.run_count(target), before)
 
 
 class TestLeaving(TargetCase):
-    """A target leaves while the other sources lag and disagree.
+    """A target is leaving by one source while the other sources lag.
 
-    Symptom: requests run into a target that is being shut down. Sequence: one source
-    says that it leaves; the load reports are late or the host list says "live" all
-    along. Cause: a host that weighs the sources against each other, or
-    takes the one that was read last.
+    The load reports are late, or the host list still shows the target as live. If a
+    host weighed the sources or used the one read last, requests would be sent to a
+    target that is shutting down.
     """
 
     def test_by_operator(self) -> None:
@@ -90,38 +89,40 @@
                 deployment.operator().put(entries[number])
             self.wait_state(ENGINE, "leaving" if leaving else "ready")
             if leaving:
-                self.assert_gets_nothing(ENGINE)
+                self.assert_gets_no_requests(ENGINE)
 
     def test_by_host_list(self) -> None:
         self.deployment.targets.list_as(ENGINE, ListedState.leaving)
         self.wait_state(ENGINE, "leaving")
-        self.assert_gets_nothing(ENGINE)
+        self.assert_gets_no_requests(ENGINE)
         self.deployment.targets.list_as(ENGINE, ListedState.live)
         self.wait_state(ENGINE, "ready")
 
-    def test_by_its_reports(self) -> None:
+    def test_by_own_reports(self) -> None:
         self.deployment.set_faults(ENGINE, leaving=True)
         self.wait_state(ENGINE, "leaving")
-        self.assert_gets_nothing(ENGINE)
+        self.assert_gets_no_requests(ENGINE)
         self.deployment.set_faults(ENGINE, leaving=False)
         self.wait_state(ENGINE, "ready")
 
     def test_by_one_answer_while_reports_are_late(self) -> None:
-        self.deployment.set_faults(ENGINE, leaving=True, load_lag=LATE)
+        self.deployment.set_faults(ENGINE, leaving=True, load_lag=REPORT_LAG_SECONDS)
         self.addCleanup(
             self.deployment.set_faults, ENGINE, leaving=False, load_lag=-1.0
         )
 
-        def some_answer_said_so() -> bool:
-            self.ask(times=1)
+        def leaving_after_an_answer() -> bool:
+            self.send_requests(times=1)
             return "leaving" in self.states(ENGINE)
 
-        wait_until(some_answer_said_so, f"an answer of {ENGINE} said that it leaves")
+        wait_until(
+            leaving_after_an_answer, f"an answer of {ENGINE} said that it leaves"
+        )
         self.wait_state(ENGINE, "leaving")
-        self.assert_gets_nothing(ENGINE)
+        self.assert_gets_no_requests(ENGINE)
         self.assertEqual(self.states(ENGINE), {"leaving"})
 
-    def test_service_that_said_so_is_not_brought_back_by_a_stale_list(self) -> None:
+    def test_stale_list_does_not_cancel_the_notice_of_a_service(self) -> None:
         self.deployment.set_faults(SERVICE, leaving=True)
         client = self.deployment.client("bkk-2")
         client.call_service("phrases", "GET", "/lookup")
@@ -131,7 +132,7 @@
         self.assertEqual(reply.refusal["ran"], "no")
         self.wait_list_polls(times=2)
         self.assertEqual(self.states(SERVICE), {"leaving"})
-        # The list sees it leave and return, as when the platform replaces it.
+        # The list shows it as leaving and then live, as when the platform replaces it.
         self.deployment.set_faults(SERVICE, leaving=False)
         self.deployment.targets.list_as(SERVICE, ListedState.leaving)
         wait_until(self.listed_everywhere, "every host has read it in the list")
@@ -139,35 +140,35 @@
         self.wait_state(SERVICE, "ready")
 
     def listed_everywhere(self) -> bool:
-        """Whether every host has heard the list say that the service leaves."""
+        """Return whether every host has read in the list that the service leaves."""
         rows = [
             row
             for host in HOSTS
             for row in self.deployment.operator(host).targets()["targets"]
         ]
-        said = [row["leaving_by"] for row in rows if row["name"] == SERVICE]
-        return all("host_list" in sources for sources in said)
+        sources_by_host = [row["leaving_by"] for row in rows if row["name"] == SERVICE]
+        return all("host_list" in sources for sources in sources_by_host)
 
 
 class TestFailing(TargetCase):
-    def test_dead_engine_is_left_out_and_its_requests_answered(self) -> None:
-        """An engine's process is gone, its address refuses or closes connections.
+    def test_dead_engine_is_excluded_and_its_requests_answered(self) -> None:
+        """A dead engine gets no requests although the catalogue still lists it.
 
-        Symptom: one request in two fails. Cause: the catalogue still names it, and
-        nothing but the failures says that it is gone.
+        Its address refuses or closes connections, and only these failures show that
+        the process has ended. Without ejection one request in two would fail.
         """
         self.deployment.set_faults(ENGINE, down=True)
         self.addCleanup(self.deployment.set_faults, ENGINE, down=False)
 
-        def left_out() -> bool:
-            self.ask(times=1)
+        def excluded() -> bool:
+            self.send_requests(times=1)
             return self.states(ENGINE) <= {"ejected", "unknown"}
 
-        wait_until(left_out, f"{ENGINE} is left out")
+        wait_until(excluded, f"{ENGINE} is excluded")
         self.deployment.set_faults(ENGINE, down=False)
 
         def used_again() -> bool:
-            self.ask(times=1)
+            self.send_requests(times=1)
             return self.states(ENGINE) == {"ready"}
 
         wait_until(used_again, f"{ENGINE} is used again")
