--- a/packages/node/src/bronzepoint_node/entry/__init__.py
+++ b/packages/node/src/bronzepoint_node/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The request path: HTTP calls to decisions, dispatch and answers."""
+"""The request path: HTTP requests, routing decisions, dispatch and responses."""
 
 from bronzepoint_node.entry._collaborators import Collaborators
 from bronzepoint_node.entry._gateway import EntryState, Gateway
--- a/packages/node/src/bronzepoint_node/entry/_admin.py
+++ b/packages/node/src/bronzepoint_node/entry/_admin_endpoints.py
@@ -1,4 +1,4 @@
-"""What operators ask and change."""
+"""HTTP endpoints for operators under ``/v1/admin/``."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 from bronzepoint_node.entry._authentication import require_operator
 from bronzepoint_node.entry._collaborators import Collaborators
 from bronzepoint_node.entry._identity import Identity
-from bronzepoint_node.entry._information import (
+from bronzepoint_node.entry._info_endpoints import (
     JSON_HEADERS,
     finite_age,
     is_within_bound,
@@ -38,33 +38,39 @@
 from bronzepoint_schema.ids import HostName
 
 PROPOSE_TIMEOUT = 5.0
+"""Seconds to wait until a proposed change is accepted."""
 RETRY_CHANGE = 1.0
+"""Seconds after which an operator may send a refused change again."""
 
 
-class Admin:
-    """Answers operators.
+class AdminEndpoints:
+    """Serves the endpoints for operators.
 
     Args:
         identity: This host.
-        parts: The other parts of the daemon.
+        dependencies: The other components of the daemon.
     """
 
-    def __init__(self, identity: Identity, parts: Collaborators) -> None:
+    def __init__(self, identity: Identity, dependencies: Collaborators) -> None:
         self._identity = identity
-        self._parts = parts
+        self._dependencies = dependencies
 
     async def serve(
         self, exchange: Exchange, parts: tuple[str, ...], state: str, in_progress: int
     ) -> None:
-        """Answer one operator's call.
+        """Answer one request of an operator.
 
         Args:
-            exchange: The exchange.
-            parts: The method, then what follows ``/v1/admin/`` in the path.
-            state: Whether this host serves or drains.
-            in_progress: Calls that it works on.
+            exchange: The HTTP exchange.
+            parts: The method, followed by the path segments after ``/v1/admin/``.
+            state: State of this host: live, draining or closed.
+            in_progress: Number of calls that this host is serving.
+
+        Raises:
+            RequestRefused: The operator isn't authenticated, the path doesn't exist
+                or the operation failed.
         """
-        operator = require_operator(self._parts.tokens, exchange.request)
+        operator = require_operator(self._dependencies.tokens, exchange.request)
         match parts:
             case "GET", "catalogue":
                 answer = self._catalogue()
@@ -75,7 +81,7 @@
             case "GET", "hosts":
                 answer = self._hosts()
             case "GET", "targets":
-                statuses = self._parts.targets.statuses()
+                statuses = self._dependencies.targets.statuses()
                 answer = TargetsAnswer(self._identity.host, statuses)
             case "POST", "drain", host:
                 answer = self._drain(HostName(host), in_progress)
@@ -83,7 +89,7 @@
                 await self._initialise()
                 answer = self._status(state, in_progress)
             case "GET", "orders":
-                answer = self._parts.orders.status()
+                answer = self._dependencies.orders.status()
             case "GET", "status":
                 answer = self._status(state, in_progress)
             case "GET", "counters":
@@ -91,14 +97,14 @@
             case _:
                 raise refused(
                     RefusalKind.not_found,
-                    f"There is no operators' path {'/'.join(parts[1:])[:200]!r} for "
+                    f"There is no admin path {'/'.join(parts[1:])[:200]!r} for "
                     f"{parts[0]}.",
                     "Use one of the paths in docs/INTERFACE.md.",
                 )
         await exchange.respond(200, JSON_HEADERS, msgspec.json.encode(answer))
 
     def _catalogue(self) -> CatalogueAnswer:
-        catalogue = self._parts.catalogue
+        catalogue = self._dependencies.catalogue
         return CatalogueAnswer(
             host=self._identity.host,
             revision=catalogue.revision,
@@ -107,7 +113,7 @@
         )
 
     def _item(self, kind: str, name: str) -> ItemAnswer:
-        catalogue = self._parts.catalogue
+        catalogue = self._dependencies.catalogue
         for item in catalogue.items():
             if item.name == name and item_kind(item).value == kind:
                 return ItemAnswer(self._identity.host, catalogue.revision, item)
@@ -124,12 +130,12 @@
         except msgspec.DecodeError as exc:
             raise refused(
                 RefusalKind.bad_request,
-                f"The body is no change: {exc}.",
+                f"The body is not a valid catalogue change: {exc}.",
                 "Send it with 'bronzepoint catalogue apply'.",
             ) from exc
         change.operator = operator.name
         try:
-            return await self._parts.agreement.propose(change, PROPOSE_TIMEOUT)
+            return await self._dependencies.agreement.propose(change, PROPOSE_TIMEOUT)
         except AgreementError as exc:
             raise _change_refused(exc) from exc
 
@@ -145,19 +151,19 @@
                 revision=host.revision,
                 run_once_ready=host.run_once_ready,
             )
-            for host in self._parts.membership.hosts()
+            for host in self._dependencies.membership.hosts()
         ]
         return HostsAnswer(self._identity.host, statuses)
 
     def _drain(self, host: HostName, in_progress: int) -> DrainAnswer:
         if host == self._identity.host:
-            self._parts.drain()
+            self._dependencies.drain()
             return DrainAnswer(host, in_progress)
-        known = self._parts.membership.host(host)
+        known = self._dependencies.membership.host(host)
         if known is None:
             raise refused(
                 RefusalKind.not_found,
-                f"Host {host[:100]!r} is not known here.",
+                f"Host {host[:100]!r} is not known to this host.",
                 "List the hosts with 'bronzepoint hosts'.",
             )
         raise refused(
@@ -168,13 +174,13 @@
 
     async def _initialise(self) -> None:
         try:
-            await self._parts.agreement.initialise()
+            await self._dependencies.agreement.initialise()
         except AgreementError as exc:
             raise _change_refused(exc) from exc
 
     def _status(self, state: str, in_progress: int) -> StatusAnswer:
-        catalogue = self._parts.catalogue
-        agreement = self._parts.agreement.status()
+        catalogue = self._dependencies.catalogue
+        agreement = self._dependencies.agreement.status()
         return StatusAnswer(
             host=self._identity.host,
             region=self._identity.region,
@@ -188,13 +194,13 @@
             voters=[voter.host for voter in agreement.voters],
             in_progress=in_progress,
             within_bound=is_within_bound(catalogue, self._identity),
-            fencing_number=self._parts.agreement.lease() or 0,
+            fencing_number=self._dependencies.agreement.lease() or 0,
             failure=agreement.failure,
             voter_states=[_voter_state(voter) for voter in agreement.voters],
         )
 
     def _counters(self) -> CountersAnswer:
-        metrics = self._parts.metrics
+        metrics = self._dependencies.metrics
         return CountersAnswer(self._identity.host, metrics.counters(), metrics.gauges())
 
 
--- a/packages/node/src/bronzepoint_node/entry/_answer_headers.py
+++ b/packages/node/src/bronzepoint_node/entry/_answer_headers.py
@@ -1,6 +1,6 @@
-"""Headers of the answers that callers get."""
+"""Headers of the responses that callers get."""
 
-from bronzepoint_node.entry._call import end_to_end
+from bronzepoint_node.entry._call import end_to_end_headers
 from bronzepoint_schema.ids import HostName, RegionName, RequestId
 
 REQUEST_ID_HEADER = "Bronzepoint-Request-Id"
@@ -9,30 +9,32 @@
 REPLAYED_HEADER = "Bronzepoint-Replayed"
 ECHO_HEADER = "X-Request-Id"
 LEAVING_HEADER = "x-leaving"
-NOT_FOR_CALLERS = frozenset({"x-request-id", LEAVING_HEADER})
+"""Response header of a target that is leaving and takes no new requests."""
+REMOVED_RESPONSE_HEADERS = frozenset({"x-request-id", LEAVING_HEADER})
+"""Headers of a target's response that are removed before it reaches the caller."""
 
 
-def own_headers(
+def gateway_headers(
     request_id: RequestId, host: HostName, region: RegionName
 ) -> dict[str, str]:
-    """Return the headers that each answer of a call carries.
+    """Return the gateway's headers, which are part of every response to a call.
 
     Args:
         request_id: Identifier of the request.
-        host: The host that the caller asked.
-        region: Region that served the request, or refused it.
+        host: The host that received the request from the caller.
+        region: Region that served or refused the request.
     """
     return {REQUEST_ID_HEADER: request_id, HOST_HEADER: host, REGION_HEADER: region}
 
 
-def passed_headers(headers: dict[str, str]) -> dict[str, str]:
-    """Return the target's headers that are passed on to the caller."""
-    passed = {
+def headers_for_caller(headers: dict[str, str]) -> dict[str, str]:
+    """Return the headers of a target's response that the caller gets."""
+    result = {
         name: value
-        for name, value in end_to_end(headers).items()
-        if name not in NOT_FOR_CALLERS
+        for name, value in end_to_end_headers(headers).items()
+        if name not in REMOVED_RESPONSE_HEADERS
     }
     replayed = headers.get(REPLAYED_HEADER.lower())
     if replayed is not None:
-        passed[REPLAYED_HEADER] = replayed
-    return passed
+        result[REPLAYED_HEADER] = replayed
+    return result
--- a/packages/node/src/bronzepoint_node/entry/_authentication.py
+++ b/packages/node/src/bronzepoint_node/entry/_authentication.py
@@ -1,4 +1,4 @@
-"""Who sends a request."""
+"""Authentication of callers and operators by bearer token."""
 
 from bronzepoint_common.http import Request
 from bronzepoint_common.tokens import Caller, Operator, Tokens
@@ -7,21 +7,29 @@
 
 
 def require_caller(tokens: Tokens, request: Request) -> Caller:
-    """Return the caller whose token the request carries; refuses others."""
+    """Return the caller whose token the request carries.
+
+    Raises:
+        RequestRefused: The request has no token of a caller.
+    """
     caller = tokens.caller(request.headers.get("authorization", ""))
     if caller is None:
-        raise _no_token("caller")
+        raise _unauthenticated("caller")
     return caller
 
 
 def require_operator(tokens: Tokens, request: Request) -> Operator:
-    """Return the operator whose token the request carries; refuses others."""
+    """Return the operator whose token the request carries.
+
+    Raises:
+        RequestRefused: The request has no token of an operator.
+    """
     authorization = request.headers.get("authorization", "")
     operator = tokens.operator(authorization)
     if operator is not None:
         return operator
     if tokens.caller(authorization) is None:
-        raise _no_token("operator")
+        raise _unauthenticated("operator")
     raise refused(
         RefusalKind.forbidden,
         "This path is for operators, and the token is a caller's.",
@@ -30,15 +38,19 @@
 
 
 def require_anyone(tokens: Tokens, request: Request) -> Caller | Operator:
-    """Return the caller or operator whose token the request carries."""
+    """Return the caller or operator whose token the request carries.
+
+    Raises:
+        RequestRefused: The request has no valid token.
+    """
     authorization = request.headers.get("authorization", "")
-    holder = tokens.caller(authorization) or tokens.operator(authorization)
-    if holder is None:
-        raise _no_token("caller or operator")
-    return holder
+    sender = tokens.caller(authorization) or tokens.operator(authorization)
+    if sender is None:
+        raise _unauthenticated("caller or operator")
+    return sender
 
 
-def _no_token(role: str) -> RequestRefused:
+def _unauthenticated(role: str) -> RequestRefused:
     return refused(
         RefusalKind.unauthenticated,
         f"The request carries no token of a known {role}.",
--- a/packages/node/src/bronzepoint_node/entry/_call.py
+++ b/packages/node/src/bronzepoint_node/entry/_call.py
@@ -1,4 +1,4 @@
-"""One call of an entry: what the caller wants, checked and typed."""
+"""Parsing and validation of a call to a catalogue entry."""
 
 import hashlib
 import math
@@ -23,12 +23,15 @@
 
 CHAT_PATH = "/v1/chat/completions"
 MAX_DEADLINE = 3600.0
+"""Longest deadline that a caller may set, in seconds."""
 PATH_CHARACTERS = "/:@!$&'()*+,;=~-._"
+"""Characters of a path that aren't percent-encoded."""
 PRIORITIES = {
     EntryClass.interactive: "2",
     EntryClass.standard: "1",
     EntryClass.batch: "0",
 }
+"""Value of the X-Priority header for each class of entry; higher goes first."""
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -44,13 +47,15 @@
         "upgrade",
     }
 )
-"""Headers that belong to one connection, not to the request or its answer."""
-OWN_PREFIX = "bronzepoint-"
-NOT_FOR_TARGETS = frozenset({"authorization", "x-request-id", "x-priority"})
+"""Headers that apply to a single connection and are never forwarded."""
+GATEWAY_HEADER_PREFIX = "bronzepoint-"
+"""Prefix of the gateway's own headers."""
+REMOVED_REQUEST_HEADERS = frozenset({"authorization", "x-request-id", "x-priority"})
+"""Headers of a caller that are removed before the request reaches a target."""
 
 
 class ChatBody(Struct):
-    """The part of a chat-completions request that the gateway reads."""
+    """The fields of a chat-completions request that the gateway reads."""
 
     model: str
     messages: list[dict[str, Any]]
@@ -60,17 +65,18 @@
 
 
 class Call(Struct):
-    """One call of an entry.
+    """A call to a catalogue entry.
 
     Attributes:
-        path: Path and query, as the target gets them.
+        path: Path and query string for the target.
         headers: Headers for the target, without those of the gateway.
-        body: Body, passed on as it came.
-        idempotent: False: it runs at most once, under ``key``.
+        body: Request body, forwarded unchanged.
+        idempotent: False: the call runs at most once under its ``key``.
         key: The caller's idempotency key; empty: none.
-        deadline: Seconds within which the first byte of the answer is worth having.
-        worth: Worth of the answer; None: the entry says.
-        bound_home: True: the caller narrows it to its home region.
+        deadline: Seconds within which the first byte of the response is of use to
+            the caller; 0: the entry's default applies.
+        worth: Value of the response to the caller; None: the entry's default applies.
+        bound_home: True: the caller allows only its home region.
         prefix_hashes: Hashes of the prompt's blocks; empty for plain services.
     """
 
@@ -89,7 +95,10 @@
     max_tokens: int = 0
 
     def digest(self) -> bytes:
-        """Return a digest of what makes this call the same as another one."""
+        """Return a digest of entry, method, path and body.
+
+        Two calls with the same digest are the same request.
+        """
         hashed = hashlib.blake2b(digest_size=16)
         for part in (self.entry, self.method, self.path):
             hashed.update(part.encode() + b"\0")
@@ -98,16 +107,16 @@
 
 
 def chat_call(request: Request, body: bytes) -> Call:
-    """Read a chat-completions request."""
+    """Parse a chat-completions request."""
     try:
         chat = msgspec.json.decode(body, type=ChatBody)
     except msgspec.DecodeError as exc:
-        raise _bad(
+        raise _bad_request(
             f"The body is no chat-completions request: {exc}.",
             "Send JSON with 'model' and 'messages'.",
         ) from exc
     text = prompt_text(chat.messages)
-    call = _call(EntryName(chat.model), request, CHAT_PATH, body)
+    call = _make_call(EntryName(chat.model), request, CHAT_PATH, body)
     call.prefix_hashes = block_hashes(text)
     call.prompt_tokens = prompt_tokens(text)
     call.max_tokens = chat.max_tokens or chat.max_completion_tokens or 0
@@ -115,21 +124,21 @@
 
 
 def service_call(route: ServiceRoute, request: Request, body: bytes) -> Call:
-    """Read a call of a plain service."""
+    """Parse a call to a plain service."""
     segments = route.path.split("/")[1:]
-    # A route is matched by its path's prefix. With such segments left in, a target
-    # that resolves them would run another path than the one that was matched.
+    # Routes are matched by path prefix. A target that resolves such segments would
+    # run a different path than the one that was matched.
     if any(segment in (".", "..") for segment in segments) or "" in segments[:-1]:
-        raise _bad(
-            "The path has empty, '.' or '..' segments.", "Send the path they lead to."
+        raise _bad_request(
+            "The path has empty, '.' or '..' segments.", "Send the resolved path."
         )
     path = quote(route.path, safe=PATH_CHARACTERS)
     _, question_mark, query = request.raw_path.partition("?")
-    return _call(route.entry, request, f"{path}{question_mark}{query}", body)
+    return _make_call(route.entry, request, f"{path}{question_mark}{query}", body)
 
 
 def call_of(route: ChatRoute | ServiceRoute, request: Request, body: bytes) -> Call:
-    """Read the call that a request makes."""
+    """Parse the call in a request."""
     match route:
         case ChatRoute():
             return chat_call(request, body)
@@ -138,16 +147,20 @@
 
 
 def check_route(call: Call, entry: ModelEntry | ServiceEntry) -> None:
-    """Check that the entry serves the call's method and path; sets ``idempotent``."""
+    """Check that the entry serves the method and path, and set ``idempotent``.
+
+    Raises:
+        RequestRefused: The entry has no such route.
+    """
     match entry:
         case ModelEntry():
-            known = call.path == CHAT_PATH
+            is_served = call.path == CHAT_PATH
             call.idempotent = True
         case ServiceEntry():
             found = find_route(entry.routes, call)
-            known = found is not None
+            is_served = found is not None
             call.idempotent = found is None or found.idempotent
-    if not known:
+    if not is_served:
         raise refused(
             RefusalKind.unknown_route,
             f"Entry {entry.name!r} does not serve {call.method} {call.path[:200]}.",
@@ -161,17 +174,17 @@
     found = [
         route
         for route in routes
-        if route.method == call.method and _is_below(path, route.path)
+        if route.method == call.method and _matches_prefix(path, route.path)
     ]
     return max(found, key=lambda route: len(route.path), default=None)
 
 
-def _is_below(path: str, prefix: str) -> bool:
-    stem = prefix.rstrip("/")
-    return path == stem or path.startswith(stem + "/")
+def _matches_prefix(path: str, prefix: str) -> bool:
+    base_path = prefix.rstrip("/")
+    return path == base_path or path.startswith(base_path + "/")
 
 
-def _call(entry: EntryName, request: Request, path: str, body: bytes) -> Call:
+def _make_call(entry: EntryName, request: Request, path: str, body: bytes) -> Call:
     headers = request.headers
     return Call(
         entry=entry,
@@ -180,23 +193,23 @@
         headers=target_headers(headers),
         body=body,
         key=IdempotencyKey(headers.get("idempotency-key", "")),
-        deadline=_number(headers, "bronzepoint-deadline", MAX_DEADLINE) or 0.0,
-        worth=_number(headers, "bronzepoint-worth", math.inf),
-        bound_home=_bound_home(headers),
+        deadline=_positive_number(headers, "bronzepoint-deadline", MAX_DEADLINE) or 0.0,
+        worth=_positive_number(headers, "bronzepoint-worth", math.inf),
+        bound_home=_is_bound_home(headers),
     )
 
 
 def target_headers(headers: dict[str, str]) -> dict[str, str]:
-    """Return the headers that a target gets of a request."""
+    """Return the headers of a request that are forwarded to the target."""
     return {
         name: value
-        for name, value in end_to_end(headers).items()
-        if name not in NOT_FOR_TARGETS
+        for name, value in end_to_end_headers(headers).items()
+        if name not in REMOVED_REQUEST_HEADERS
     }
 
 
-def end_to_end(headers: dict[str, str]) -> dict[str, str]:
-    """Return the headers that go beyond one connection and aren't the gateway's."""
+def end_to_end_headers(headers: dict[str, str]) -> dict[str, str]:
+    """Return the end-to-end headers, without those of the gateway itself."""
     named = headers.get("connection", "").lower()
     dropped = {name.strip() for name in named.split(",")} if named else set()
     return {
@@ -204,11 +217,13 @@
         for name, value in headers.items()
         if name not in HOP_BY_HOP
         and name not in dropped
-        and not name.startswith(OWN_PREFIX)
+        and not name.startswith(GATEWAY_HEADER_PREFIX)
     }
 
 
-def _number(headers: dict[str, str], name: str, most: float) -> float | None:
+def _positive_number(
+    headers: dict[str, str], name: str, max_value: float
+) -> float | None:
     text = headers.get(name)
     if text is None:
         return None
@@ -216,23 +231,23 @@
         value = float(text)
     except ValueError:
         value = math.nan
-    if math.isfinite(value) and 0 < value <= most:
+    if math.isfinite(value) and 0 < value <= max_value:
         return value
-    raise _bad(
+    raise _bad_request(
         f"Header {name} is {text[:50]!r}.",
-        f"Send a number above 0 and at most {most:g}, or leave the header out.",
+        f"Send a number above 0 and at most {max_value:g}, or leave the header out.",
     )
 
 
-def _bound_home(headers: dict[str, str]) -> bool:
+def _is_bound_home(headers: dict[str, str]) -> bool:
     text = headers.get("bronzepoint-residency")
     if text in (None, "home"):
         return text is not None
-    raise _bad(
+    raise _bad_request(
         f"Header bronzepoint-residency is {text[:50]!r}.",
         "Send 'home', or leave the header out.",
     )
 
 
-def _bad(message: str, remedy: str) -> RequestRefused:
+def _bad_request(message: str, remedy: str) -> RequestRefused:
     return refused(RefusalKind.bad_request, message, remedy)
--- a/packages/node/src/bronzepoint_node/entry/_reading.py
+++ b/packages/node/src/bronzepoint_node/entry/_call_reader.py
@@ -1,4 +1,4 @@
-"""From an exchange to a checked call: who asks, for what, and whether they may."""
+"""Parsing of calls, with authentication and authorisation of their callers."""
 
 from msgspec import Struct
 
@@ -20,13 +20,15 @@
 from bronzepoint_schema.generated.decisions import RefusalKind
 
 RETRY_NOT_READY = 1.0
+"""Seconds after which a host that lacks the catalogue, or the newest revision of it,
+may be ready."""
 
 
-class Incoming(Struct):
-    """A call that has come in and isn't checked yet.
+class IncomingCall(Struct):
+    """A received call that has not been validated yet.
 
     Attributes:
-        context: What the forwarding host says; None: it comes from its caller.
+        context: Context of a forwarded call; None: it comes from its caller.
     """
 
     exchange: Exchange
@@ -36,12 +38,12 @@
 
 
 class CallReader:
-    """Reads and checks calls.
+    """Parses and validates calls.
 
     Args:
         identity: This host.
-        catalogue: This host's view.
-        tokens: Who may call.
+        catalogue: This host's view of the catalogue.
+        tokens: Tokens of the callers.
     """
 
     def __init__(
@@ -51,22 +53,22 @@
         self._catalogue = catalogue
         self._tokens = tokens
 
-    async def read(self, incoming: Incoming) -> ServedRequest:
-        """Read a call and check all that needs no other host.
+    async def read(self, incoming: IncomingCall) -> ServedRequest:
+        """Parse a call and make all checks that need no other host.
 
         Raises:
-            RequestRefused: It may not be served as it is.
-            HttpError: Its body can't be read.
+            RequestRefused: The call is invalid, or may not be served.
+            HttpError: The body can't be read.
         """
-        caller = self._caller(incoming)
+        caller = self._identify_caller(incoming)
         exchange = incoming.exchange
         call = call_of(incoming.route, exchange.request, await exchange.body())
         _check_digest(incoming.context, call)
         entry = self._check_entry(incoming, call, caller)
         _check_key(incoming.trace, call)
-        return self._checked(incoming, call, caller, entry)
+        return self._build_request(incoming, call, caller, entry)
 
-    def _caller(self, incoming: Incoming) -> Caller:
+    def _identify_caller(self, incoming: IncomingCall) -> Caller:
         record, context = incoming.trace.record, incoming.context
         if context is None:
             caller = require_caller(self._tokens, incoming.exchange.request)
@@ -80,12 +82,12 @@
         return caller
 
     def _check_entry(
-        self, incoming: Incoming, call: Call, caller: Caller
+        self, incoming: IncomingCall, call: Call, caller: Caller
     ) -> ModelEntry | ServiceEntry:
         trace = incoming.trace
         trace.record.entry = call.entry
         trace.record.revision = self._catalogue.revision
-        entry = self._entry(incoming, call)
+        entry = self._find_entry(incoming, call)
         check_route(call, entry)
         trace.record.idempotent = trace.idempotent = call.idempotent
         if entry.owners_allowed and caller.owner not in entry.owners_allowed:
@@ -96,7 +98,9 @@
             )
         return entry
 
-    def _entry(self, incoming: Incoming, call: Call) -> ModelEntry | ServiceEntry:
+    def _find_entry(
+        self, incoming: IncomingCall, call: Call
+    ) -> ModelEntry | ServiceEntry:
         catalogue, context = self._catalogue, incoming.context
         if not catalogue.ready:
             raise refused(
@@ -124,9 +128,9 @@
             "'bronzepoint catalogue list'.",
         )
 
-    def _checked(
+    def _build_request(
         self,
-        incoming: Incoming,
+        incoming: IncomingCall,
         call: Call,
         caller: Caller,
         entry: ModelEntry | ServiceEntry,
@@ -135,7 +139,7 @@
         deadline = call.deadline or entry.deadline
         if context is not None:
             deadline = context.deadline_left
-        view = self._view(incoming, call, caller, entry)
+        view = self._request_view(incoming, call, caller, entry)
         request = ServedRequest(
             incoming.exchange,
             call,
@@ -153,9 +157,9 @@
         view.deadline_left = deadline
         return request
 
-    def _view(
+    def _request_view(
         self,
-        incoming: Incoming,
+        incoming: IncomingCall,
         call: Call,
         caller: Caller,
         entry: ModelEntry | ServiceEntry,
--- a/packages/node/src/bronzepoint_node/entry/_catalogue_check.py
+++ b/packages/node/src/bronzepoint_node/entry/_catalogue_check.py
@@ -1,4 +1,4 @@
-"""What the catalogue says of a request now, not when it came in."""
+"""Checks of a request against the current catalogue, right before it is sent."""
 
 from bronzepoint_node.entry._call import check_route
 from bronzepoint_node.entry._collaborators import CatalogueLike
@@ -12,27 +12,32 @@
 
 
 class CatalogueCheck:
-    """Checks requests against this host's newest view.
+    """Checks requests against this host's current view of the catalogue.
 
-    Between the decision and the send a request may have waited in a line, and this
-    host may have learned of a change. Decided on the view of its arrival, it could be
-    served where its residency forbids it by now, or by a target that is leaving.
+    A request may wait in a queue between its placement and the send, while this host
+    receives a catalogue change. If only the view at its arrival counted, the request
+    could be served in a region that its residency no longer allows, or by a target
+    that is leaving.
 
     Args:
-        catalogue: This host's view.
+        catalogue: This host's view of the catalogue.
     """
 
     def __init__(self, catalogue: CatalogueLike) -> None:
         self._catalogue = catalogue
 
     def entry(self, request: ServedRequest) -> ModelEntry | ServiceEntry:
-        """Return the request's entry; refuses it where the entry is gone."""
+        """Return the current entry of a request.
+
+        Raises:
+            RequestRefused: The entry was removed or has no such route any more.
+        """
         entry = self._catalogue.entry(request.entry.name)
         if entry is None:
             raise refused(
                 RefusalKind.unknown_entry,
-                f"Entry {request.entry.name!r} was removed meanwhile.",
-                "Use an entry that the catalogue has.",
+                f"Entry {request.entry.name!r} was removed while the request waited.",
+                "Use an entry that is in the catalogue.",
             )
         check_route(request.call, entry)
         return entry
@@ -40,7 +45,11 @@
     def region(
         self, request: ServedRequest, region: RegionName
     ) -> ModelEntry | ServiceEntry:
-        """Refuse the request where it may not be served in a region."""
+        """Return the current entry if it may be served in a region.
+
+        Raises:
+            RequestRefused: The residency rules forbid the region, or see `entry`.
+        """
         entry = self.entry(request)
         if not allows(request.allowed_by(entry), region):
             raise residency_refused(request, region)
@@ -49,7 +58,7 @@
     def target(
         self, request: ServedRequest, region: RegionName, name: TargetName
     ) -> Target | None:
-        """Return a target of a region; None: no new work for it."""
+        """Return a target of a region; None: it takes no new requests."""
         for target in self.region(request, region).targets:
             usable = target.region == region and not target.leaving
             if target.name == name and usable:
--- a/packages/node/src/bronzepoint_node/entry/_collaborators.py
+++ b/packages/node/src/bronzepoint_node/entry/_collaborators.py
@@ -1,4 +1,4 @@
-"""What the request path needs of the other parts of the daemon."""
+"""Interfaces of the other components of the daemon that the request path uses."""
 
 from collections.abc import Callable, Mapping
 from typing import Protocol
@@ -66,30 +66,30 @@
         """Return all items."""
 
     def confirmed_age(self) -> float:
-        """Return the seconds since this view was known to be current."""
+        """Return the seconds since this view was last confirmed to be current."""
 
 
 class MembershipLike(Protocol):
     """Known hosts and regions; see `bronzepoint_node.membership`."""
 
     def hosts(self, region: RegionName | None = None) -> list[HostInfo]:
-        """Return the known hosts of one region, or of all."""
+        """Return the known hosts of one region; None: of all regions."""
 
     def host(self, name: HostName) -> HostInfo | None:
-        """Return one host."""
+        """Return a host by name; None: it is not known."""
 
     def live(self, region: RegionName | None = None) -> list[HostInfo]:
-        """Return the live hosts of one region."""
+        """Return the live hosts of one region; None: of all regions."""
 
     def regions(self) -> dict[RegionName, RegionSummary]:
-        """Return what is known of each region."""
+        """Return a summary of the state of each region."""
 
 
 class DirectoryLike(Protocol):
-    """Which hosts a caller should use; see `bronzepoint_node.directory`."""
+    """Hosts that a caller should use; see `bronzepoint_node.directory`."""
 
     def hosts_for(self, caller_home: RegionName) -> DirectoryAnswer:
-        """Return hosts in order."""
+        """Return the hosts for callers of a home region, in order of preference."""
 
 
 class TargetsLike(Protocol):
@@ -98,26 +98,26 @@
     def views(
         self, entry: EntryName, prefix_hashes: list[str] | None = None
     ) -> list[TargetView]:
-        """Return an entry's targets as they are seen now."""
+        """Return the current state of an entry's targets."""
 
     def begin(self, name: TargetName, prefix_hashes: list[str] | None = None) -> None:
-        """Count a request in progress."""
+        """Add a request to those in progress at a target."""
 
     def finish(self, name: TargetName, result: TryResult, seconds: float) -> None:
-        """Count it out; the result may eject the target."""
+        """Remove a request from those in progress; its result may eject the target."""
 
     def note_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
-        """Take a target's own word from the headers of its answer."""
+        """Update a target's state from the headers of its response."""
 
     def statuses(self) -> list[TargetStatus]:
-        """Return all targets that this host watches."""
+        """Return the status of all targets that this host monitors."""
 
 
 class PolicyLike(Protocol):
     """Limits, placement and retries; see `bronzepoint_node.policy`."""
 
     async def enter(self, request: RequestView) -> Ticket | Refused:
-        """Count a request against its limits."""
+        """Admit a request under its limits, or refuse it."""
 
     async def place(
         self,
@@ -125,68 +125,68 @@
         targets: Callable[[], list[TargetView]],
         regions: Callable[[], list[RegionView]],
     ) -> Placement:
-        """Choose where it goes."""
+        """Choose the target or region that serves the request."""
 
     async def try_ended(
         self,
         ticket: Ticket,
-        placed: Home | Away,
+        placement: Home | Away,
         result: TryResult,
         first_token: float | None,
     ) -> None:
-        """Learn from one try."""
+        """Update the policy's state with the result of one try."""
 
     def may_retry(
         self, ticket: Ticket, reason: RetryReason, region: RegionName | None = None
     ) -> bool:
-        """Return whether another try may follow."""
+        """Return whether the retry budget allows another try."""
 
     async def leave(self, ticket: Ticket, answered: bool, tokens: int) -> None:
-        """Give back what the request has taken."""
+        """Release the request's share of its limits."""
 
 
 class RunOnceLike(Protocol):
-    """Records of non-idempotent requests; see `bronzepoint_node.run_once`."""
+    """Run-once records of non-idempotent requests; see `bronzepoint_node.run_once`."""
 
     async def claim(
         self, key: IdempotencyKey, digest: bytes, request_id: RequestId
     ) -> ClaimResult:
-        """Claim the right to run a request."""
+        """Claim an idempotency key for one run of a request."""
 
     async def confirm(self, token: ClaimToken) -> bool:
-        """Tell whether dispatch may begin now."""
+        """Return whether the claim still holds and the request may be sent now."""
 
     async def finish(self, token: ClaimToken, answer: StoredAnswer | None) -> bool:
-        """Record the outcome; None: unknown."""
+        """Record the response; None: the outcome is unknown."""
 
     async def release(self, token: ClaimToken) -> bool:
-        """Record that the request certainly did not run."""
+        """Release the claim of a request that certainly did not run."""
 
 
 class DecisionsLike(Protocol):
     """Decision records; see `bronzepoint_node.decisions`."""
 
     def new_request_id(self) -> RequestId:
-        """Return the identifier of a request that arrives now."""
+        """Return a new identifier for a request that has just arrived."""
 
     async def record(self, record: DecisionRecord) -> None:
-        """Keep a record."""
+        """Store a record."""
 
     async def why(self, request_id: RequestId) -> WhyAnswer:
-        """Find the records of a request."""
+        """Look up the records of a request."""
 
 
 class AgreementLike(Protocol):
     """Changes of the catalogue; see `bronzepoint_node.agreement`."""
 
     async def propose(self, change: Change, timeout: float) -> Accepted:
-        """Bring a change before the leader."""
+        """Propose a change to the leader and wait until it is accepted."""
 
     async def initialise(self) -> ClusterId:
-        """Begin the cluster."""
+        """Initialise the cluster."""
 
     def lease(self) -> FencingNumber | None:
-        """Return the fencing number while this host may act as leader."""
+        """Return the fencing number; None: this host doesn't hold the leader lease."""
 
     def status(self) -> AgreementStatus:
         """Return the state of the agreement on this host."""
@@ -196,11 +196,11 @@
     """Orders to engines; see `bronzepoint_node.orders`."""
 
     def status(self) -> OrdersStatus:
-        """Return what operators see of the orders."""
+        """Return the status of the orders for operators."""
 
 
 class Collaborators(Struct, frozen=True):
-    """All parts that the request path uses.
+    """All components that the request path uses.
 
     Attributes:
         drain: Called when an operator asks this host to drain.
--- a/packages/node/src/bronzepoint_node/entry/_dispatch.py
+++ b/packages/node/src/bronzepoint_node/entry/_dispatch.py
@@ -1,16 +1,16 @@
-"""From a decision to an answer: placement, tries, and what follows a failed one."""
+"""Dispatch of admitted requests: placement, tries and retries."""
 
-from bronzepoint_node.entry._away_tries import AwayTries
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
 from bronzepoint_node.entry._collaborators import Collaborators
 from bronzepoint_node.entry._dispatch_refusals import (
     deadline_refused,
-    refused_after,
+    refused_after_failure,
     refused_by_policy,
 )
-from bronzepoint_node.entry._home_tries import HomeTries
+from bronzepoint_node.entry._local_tries import LocalTries
 from bronzepoint_node.entry._outcomes import Answered, Failed
 from bronzepoint_node.entry._region_views import region_views
+from bronzepoint_node.entry._remote_tries import RemoteTries
 from bronzepoint_node.entry._served_request import ServedRequest
 from bronzepoint_node.policy import (
     Away,
@@ -24,110 +24,116 @@
 from bronzepoint_node.run_once import ClaimToken
 
 MAX_TRIES = 5
-"""Tries of one request over all targets and regions, whatever the budget allows."""
+"""Tries of one request over all targets and regions, even if the retry budget allows
+more."""
 
 
 class Dispatcher:
-    """Places requests and tries targets and regions until one answers.
+    """Places a request and tries targets and regions until one of them answers.
 
     Args:
-        parts: The other parts of the daemon.
-        check: The catalogue as it is now.
-        home_tries: Tries targets of this region.
-        away_tries: Tries other regions.
+        dependencies: The other components of the daemon.
+        check: Checks a request against the current catalogue.
+        local_tries: Sends to targets of this region.
+        remote_tries: Sends to other regions.
     """
 
     def __init__(
         self,
-        parts: Collaborators,
+        dependencies: Collaborators,
         check: CatalogueCheck,
-        home_tries: HomeTries,
-        away_tries: AwayTries,
+        local_tries: LocalTries,
+        remote_tries: RemoteTries,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._check = check
-        self._home_tries = home_tries
-        self._away_tries = away_tries
+        self._local_tries = local_tries
+        self._remote_tries = remote_tries
 
     async def run(
         self, request: ServedRequest, ticket: Ticket, token: ClaimToken | None
     ) -> Answered:
-        """Bring a request to its answer.
+        """Send a request until it is answered or may not be retried.
 
         Args:
             request: The request.
-            ticket: What it holds of its limits.
-            token: The claim on its idempotency key, for non-idempotent ones.
+            ticket: Admission of the request under its limits.
+            token: The claim on the idempotency key; None: an idempotent request.
 
         Raises:
-            RequestRefused: It was not answered.
-            Disconnected: The caller left.
+            RequestRefused: No target or region has answered the request.
+            Disconnected: The caller closed the connection.
         """
         last: Failed | None = None
         for _ in range(MAX_TRIES):
-            self._refresh(request, last)
-            placed = await self._place(request, ticket)
-            # Nothing may be awaited from here until the target counts the request.
-            match placed:
+            self._refresh_view(request, last)
+            placement = await self._place(request, ticket)
+            # Nothing may be awaited between the placement and the moment at which
+            # the target counts the request as in progress.
+            match placement:
                 case Refused():
-                    raise refused_by_policy(placed, last)
+                    raise refused_by_policy(placement, last)
                 case Home():
-                    tries = self._home_tries
-                    outcome = await tries.try_target(request, ticket, placed, token)
+                    tries = self._local_tries
+                    outcome = await tries.try_target(request, ticket, placement, token)
                 case Away():
-                    tries = self._away_tries
-                    outcome = await tries.try_region(request, ticket, placed, token)
+                    tries = self._remote_tries
+                    outcome = await tries.try_region(request, ticket, placement, token)
             if isinstance(outcome, Answered):
                 return outcome
-            if not self._retries(request, ticket, placed, outcome):
-                raise refused_after(outcome)
+            if not self._prepare_retry(request, ticket, placement, outcome):
+                raise refused_after_failure(outcome)
             last = outcome
-        raise refused_after(outcome)
+        raise refused_after_failure(outcome)
 
-    def _refresh(self, request: ServedRequest, last: Failed | None) -> None:
-        """Bring what the policy sees up to date."""
+    def _refresh_view(self, request: ServedRequest, last: Failed | None) -> None:
+        """Update the policy's view of a request before the next placement."""
         left = request.deadline_left()
         if left <= 0:
-            raise deadline_refused(request) if last is None else refused_after(last)
+            raise (
+                deadline_refused(request)
+                if last is None
+                else refused_after_failure(last)
+            )
         view = request.view
         view.deadline_left = left
         view.allowed_regions = request.allowed_by(self._check.entry(request))
 
     async def _place(self, request: ServedRequest, ticket: Ticket) -> Placement:
-        parts = self._parts
+        dependencies = self._dependencies
         entry = request.entry
 
         def targets() -> list[TargetView]:
-            return parts.targets.views(entry.name, request.view.prefix_hashes)
+            return dependencies.targets.views(entry.name, request.view.prefix_hashes)
 
         def regions() -> list[RegionView]:
-            return region_views(entry, list(parts.membership.regions().values()))
+            return region_views(entry, list(dependencies.membership.regions().values()))
 
-        placed = await parts.policy.place(ticket, targets, regions)
-        request.trace.placed(placed)
-        return placed
+        placement = await dependencies.policy.place(ticket, targets, regions)
+        request.trace.record_placement(placement)
+        return placement
 
-    def _retries(
+    def _prepare_retry(
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placed: Home | Away,
+        placement: Home | Away,
         failed: Failed,
     ) -> bool:
-        """Return whether another try may follow, and rule out where this one was."""
+        """Return whether to retry; if so, exclude the failed target or region."""
         if failed.started or failed.reason is None:
             return False
         if not failed.certain and not request.call.idempotent:
             return False
         if request.deadline_left() <= 0:
             return False
-        region = placed.region if isinstance(placed, Away) else None
-        if not failed.granted and not self._parts.policy.may_retry(
+        region = placement.region if isinstance(placement, Away) else None
+        if not failed.granted and not self._dependencies.policy.may_retry(
             ticket, failed.reason, region
         ):
             return False
         request.trace.retried(failed.reason)
-        match placed:
+        match placement:
             case Home(target):
                 request.view.tried.append(target.name)
             case Away(region):
--- a/packages/node/src/bronzepoint_node/entry/_dispatch_permit.py
+++ b/packages/node/src/bronzepoint_node/entry/_dispatch_permit.py
@@ -1,4 +1,4 @@
-"""For how long after its confirmation a claim allows a send."""
+"""Time limit between the confirmation of a claim and the send of its request."""
 
 import math
 
@@ -8,32 +8,41 @@
 from bronzepoint_node.run_once import ClaimToken
 from bronzepoint_schema.generated.decisions import RefusalKind
 
-PERMIT_TIME = 1.5
-"""Seconds from the confirmation to the send. With the run-once records' dispatch window
-of 2 s it stays below the 5 s after which a silent host is taken for gone."""
+PERMIT_LIFETIME = 1.5
+"""Seconds allowed between the confirmation and the send. Together with the dispatch
+window of 2 s of the run-once records it stays below the 5 s after which a host that
+doesn't respond is considered dead."""
 RETRY_AFTER = 1.0
+"""Seconds after which a request whose claim was lost may be sent again."""
 
 
 class DispatchPermit:
-    """A claim that was confirmed just now, or no need of one.
+    """Permission to send a request, based on a claim that was just confirmed.
 
-    A process may be stopped between the confirmation and the send, while it connects.
-    Others then take it for gone and record the outcome as unknown; it must not send
-    when it wakes. So the permit holds for a short time, on a clock that goes on while
-    the process is stopped.
+    A process may be suspended between the confirmation and the send, for example while
+    it connects. Other hosts then consider it dead and record the outcome as unknown,
+    so it must not send when it resumes. The permit therefore expires after a short
+    time, on a clock that advances while the process is suspended.
+
+    Args:
+        expires: False: the request needs no claim, and the permit never expires.
     """
 
-    def __init__(self, *, bounded: bool) -> None:
-        self._until = monotonic() + PERMIT_TIME if bounded else math.inf
+    def __init__(self, *, expires: bool) -> None:
+        self._expires_at = monotonic() + PERMIT_LIFETIME if expires else math.inf
 
     def check(self) -> None:
-        """Raise RequestRefused where the permit has run out; call before a send."""
-        if monotonic() > self._until:
+        """Check that the permit is still valid; call right before a send.
+
+        Raises:
+            RequestRefused: The permit has expired.
+        """
+        if monotonic() > self._expires_at:
             raise claim_lost()
 
 
 def claim_lost() -> RequestRefused:
-    """Make the refusal of a request whose claim did not hold until the send."""
+    """Return the refusal for a request whose claim expired before the send."""
     return refused(
         RefusalKind.run_records_unavailable,
         "The claim on the idempotency key was lost before the request was sent.",
@@ -45,9 +54,17 @@
 async def permit_dispatch(
     run_once: RunOnceLike, token: ClaimToken | None
 ) -> DispatchPermit:
-    """Confirm a claim and return the permit; raises RequestRefused where it is lost."""
+    """Confirm a claim and return the permit to send.
+
+    Args:
+        run_once: The run-once records.
+        token: The claim; None: an idempotent request, which needs none.
+
+    Raises:
+        RequestRefused: The claim was lost.
+    """
     if token is None:
-        return DispatchPermit(bounded=False)
+        return DispatchPermit(expires=False)
     if await run_once.confirm(token):
-        return DispatchPermit(bounded=True)
+        return DispatchPermit(expires=True)
     raise claim_lost()
--- a/packages/node/src/bronzepoint_node/entry/_dispatch_refusals.py
+++ b/packages/node/src/bronzepoint_node/entry/_dispatch_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests that were placed or tried."""
+"""Refusals for requests that could not be placed, or whose tries failed."""
 
 from bronzepoint_node.entry._outcomes import Failed
 from bronzepoint_node.entry._refusals import RequestRefused, refused
@@ -13,26 +13,29 @@
 from bronzepoint_schema.ids import RegionName
 
 RETRY_AFTER_FAILURE = 1.0
+"""Seconds after which a request may be sent again when all its tries failed."""
 RETRY_REGION = 5.0
-NOT_HERE = {
+"""Seconds after which a region that can't be reached may be reachable again."""
+REGION_EXCLUSIONS = {
     ExclusionReason.unreachable,
     ExclusionReason.residency,
     ExclusionReason.not_ready,
 }
+"""Reasons that exclude a whole region, however busy its targets are."""
 
 
 def deadline_refused(request: ServedRequest) -> RequestRefused:
-    """Make the refusal of a request whose deadline passed before it was sent."""
+    """Return the refusal for a request whose deadline passed before the send."""
     return refused(
         RefusalKind.deadline_unreachable,
-        f"The deadline of {request.deadline:g} s passed before it was sent.",
+        f"The deadline of {request.deadline:g} s passed before the request was sent.",
         "Send it again with a longer Bronzepoint-Deadline.",
         RETRY_AFTER_FAILURE,
     )
 
 
 def residency_refused(request: ServedRequest, region: RegionName) -> RequestRefused:
-    """Make the refusal of a request that may not be served in a region."""
+    """Return the refusal for a request that may not be served in a region."""
     return refused(
         RefusalKind.residency,
         f"Entry {request.entry.name!r} may not be served in region {region} for a "
@@ -41,31 +44,33 @@
     )
 
 
-def refused_by_policy(placed: Refused, last: Failed | None = None) -> RequestRefused:
-    """Make the refusal that the policy decided on.
+def refused_by_policy(placement: Refused, last: Failed | None = None) -> RequestRefused:
+    """Return the refusal that the policy decided on.
 
-    Where a try has failed and no other target is left, what the try met says more
-    than that nothing is left.
+    If a try has failed and no other target is left, the refusal reports the failure
+    of that try, which tells the caller more than "no target".
     """
-    if last is not None and placed.kind is RefusalKind.no_target:
-        return refused_after(last)
-    if placed.kind is RefusalKind.no_target and _is_cut_off(placed):
+    if last is not None and placement.kind is RefusalKind.no_target:
+        return refused_after_failure(last)
+    if placement.kind is RefusalKind.no_target and _no_region_reachable(placement):
         return refused(
             RefusalKind.region_unreachable,
-            "No region that may serve it can be reached from here.",
-            "Ask a host of such a region, or come back.",
+            "No region that may serve the request can be reached from this host.",
+            "Ask a host of such a region, or try again later.",
             RETRY_REGION,
         )
-    return refused(placed.kind, placed.message, placed.remedy, placed.retry_after)
+    return refused(
+        placement.kind, placement.message, placement.remedy, placement.retry_after
+    )
 
 
-def _is_cut_off(placed: Refused) -> bool:
-    reasons = {candidate.excluded for candidate in placed.candidates}
-    return ExclusionReason.unreachable in reasons and reasons <= NOT_HERE
+def _no_region_reachable(placement: Refused) -> bool:
+    reasons = {candidate.excluded for candidate in placement.candidates}
+    return ExclusionReason.unreachable in reasons and reasons <= REGION_EXCLUSIONS
 
 
-def refused_after(failed: Failed) -> RequestRefused:
-    """Make the refusal that follows a failed last try."""
+def refused_after_failure(failed: Failed) -> RequestRefused:
+    """Return the refusal for a request whose last try failed."""
     if failed.refusal is not None:
         return RequestRefused(failed.refusal)
     remedy = "Send it again if it is idempotent, else with the same key."
--- a/packages/node/src/bronzepoint_node/entry/_forward_context.py
+++ b/packages/node/src/bronzepoint_node/entry/_forward_context.py
@@ -1,4 +1,4 @@
-"""What a host tells another one with a request that it forwards."""
+"""Signed context that a host sends along with a request that it forwards."""
 
 import base64
 import binascii
@@ -17,9 +17,10 @@
 
 FORWARD_HEADER = "Bronzepoint-Forward"
 MAX_VISITED = 2
-"""Hosts that may have handled a request before the one that gets it: the one that
-the caller asked, and one of the caller's home region."""
+"""Hosts that may have handled a request before it reaches the next one: the host that
+received it from the caller, and a host of the caller's home region."""
 MAC_SIZE = 16
+"""Bytes of the message authentication code."""
 
 
 class VisitedHost(Struct, array_like=True, frozen=True):
@@ -30,19 +31,20 @@
 
 
 class ForwardContext(Struct, array_like=True):
-    """The request's way so far, and what was decided about it.
+    """The hosts that have handled a request so far, and their decisions.
 
     Attributes:
         request_id: Identifier that all hosts use for the request.
-        caller: Who sent it; the forwarding host has checked the token.
-        visited: Hosts that have handled it, in order.
-        deadline_left: Seconds left when it was forwarded.
-        revision: Catalogue revision that the forwarding host decided on.
+        caller: The caller; the forwarding host has verified its token.
+        visited: Hosts that have handled the request, in order.
+        deadline_left: Seconds left until the deadline when it was forwarded.
+        revision: Catalogue revision on which the forwarding host based its decision.
         allowed: Regions that the forwarding host's view allows; None: all.
-        final: True: it is served in the receiving region or refused; False: it came
-            for its run-once record and may go to one more region.
+        final: True: the receiving region serves or refuses the request; False: the
+            request was forwarded for its run-once record, and the receiving region
+            may forward it once more.
         claimed: True: the sender holds the claim on the idempotency key.
-        digest: Digest of the call that it belongs to.
+        digest: Digest of the call that the context belongs to.
     """
 
     request_id: RequestId
@@ -57,13 +59,17 @@
 
 
 def encode_context(context: ForwardContext, key: bytes) -> str:
-    """Return a header value that only a holder of the cluster key can make."""
+    """Return a context as a header value that is signed with the cluster key."""
     data = msgspec.msgpack.encode(context)
     return base64.b64encode(_mac(data, key) + data).decode("ascii")
 
 
 def decode_context(text: str, key: bytes) -> ForwardContext:
-    """Read a header value; refuses one that no host of the system has made."""
+    """Verify and decode a header value.
+
+    Raises:
+        RequestRefused: The value is malformed or not signed with the cluster key.
+    """
     try:
         raw = base64.b64decode(text, validate=True)
         mac, data = raw[:MAC_SIZE], raw[MAC_SIZE:]
@@ -79,10 +85,11 @@
 
 
 def context_of(request: Request, identity: Identity) -> ForwardContext | None:
-    """Return what the forwarding host says; None: it comes from its caller.
+    """Return the forward context of a request; None: it comes from its caller.
 
     Raises:
-        RequestRefused: No host of the system made it, or it has been here before.
+        RequestRefused: The context is not signed with the cluster key, or the request
+            was forwarded in a loop.
     """
     text = request.headers.get(FORWARD_HEADER.lower())
     if text is None:
@@ -93,22 +100,27 @@
 
 
 def check_no_loop(context: ForwardContext, host: HostName, region: RegionName) -> None:
-    """Refuse a request that has been here, or that has been passed on too often.
+    """Refuse a request that was handled here before, or forwarded too often.
 
-    Views of the catalogue and of the load differ between hosts. Two hosts that each
-    think the other better placed would pass a request to and fro until its deadline,
-    each time as new work; the list of visited hosts travels with it, so the second
-    visit is seen at once.
+    Hosts may have different views of the catalogue and of the load. Two hosts that each
+    prefer the other's region would forward a request back and forth until its
+    deadline, each time as a new request. The list of visited hosts is forwarded with
+    the request, so that the second visit is detected at once.
+
+    Raises:
+        RequestRefused: The request was forwarded in a loop.
     """
-    been_here = any(
+    visited_before = any(
         visit.host == host or visit.region == region for visit in context.visited
     )
-    if not been_here and 0 < len(context.visited) <= MAX_VISITED:
+    if not visited_before and 0 < len(context.visited) <= MAX_VISITED:
         return
-    way = " - ".join(f"{visit.host} ({visit.region})" for visit in context.visited)
+    visited_path = " - ".join(
+        f"{visit.host} ({visit.region})" for visit in context.visited
+    )
     raise refused(
         RefusalKind.loop_detected,
-        f"Forwarded to {host} ({region}) after {way}.",
+        f"Forwarded to {host} ({region}) after {visited_path}.",
         "Ask a host of a region that may serve the entry; report it if it lasts.",
         retry_after=1.0,
     )
--- a/packages/node/src/bronzepoint_node/entry/_forwarding.py
+++ b/packages/node/src/bronzepoint_node/entry/_forwarding.py
@@ -1,10 +1,10 @@
-"""Passing a request on to a host of another region."""
+"""Forwarding of requests to hosts of other regions."""
 
 import random
 from collections.abc import Callable
 from urllib.parse import quote
 
-from bronzepoint_node.entry._answer_headers import REQUEST_ID_HEADER, own_headers
+from bronzepoint_node.entry._answer_headers import REQUEST_ID_HEADER, gateway_headers
 from bronzepoint_node.entry._call import CHAT_PATH
 from bronzepoint_node.entry._collaborators import DecisionsLike, MembershipLike
 from bronzepoint_node.entry._forward_context import (
@@ -12,10 +12,10 @@
     ForwardContext,
     encode_context,
 )
-from bronzepoint_node.entry._host_judge import HostJudge
+from bronzepoint_node.entry._host_answer_check import HostAnswerCheck
 from bronzepoint_node.entry._identity import Identity
 from bronzepoint_node.entry._outcomes import Failed, Outcome, result_of
-from bronzepoint_node.entry._records import Records
+from bronzepoint_node.entry._records import DecisionRecorder
 from bronzepoint_node.entry._served_request import ServedRequest
 from bronzepoint_node.entry._upstream import Upstream, UpstreamRequest
 from bronzepoint_node.membership import HostInfo, HostState
@@ -24,19 +24,20 @@
 from bronzepoint_schema.ids import RegionName, Revision
 
 MAX_HOSTS = 3
-"""Hosts of one region that are tried; only where nothing can have been sent."""
+"""Hosts of one region that are tried, one after the other. Another host is tried only
+if nothing was sent to the one before."""
 SERVICES_PATH = "/v1/services/"
 
 
 class Forwarding:
-    """Sends requests to hosts of other regions.
+    """Forwards requests to hosts of other regions.
 
     Args:
         identity: This host.
-        membership: Which hosts there are.
-        decisions: Keeps the record before the request leaves this host.
-        upstream: Sends and relays.
-        records: Keeps it again when the answer is there.
+        membership: The known hosts.
+        decisions: Stores the decision record before the request is forwarded.
+        upstream: Sends the request and relays the response.
+        recorder: Stores the decision record again when the response has arrived.
     """
 
     def __init__(
@@ -45,13 +46,13 @@
         membership: MembershipLike,
         decisions: DecisionsLike,
         upstream: Upstream,
-        records: Records,
+        recorder: DecisionRecorder,
     ) -> None:
         self._identity = identity
         self._membership = membership
         self._decisions = decisions
         self._upstream = upstream
-        self._records = records
+        self._recorder = recorder
 
     async def forward(
         self,
@@ -62,24 +63,25 @@
         *,
         final: bool,
         claimed: bool,
-        patience: float = 0.0,
+        max_wait: float = 0.0,
     ) -> Outcome:
-        """Send a request to some host of a region and bring its answer back.
+        """Forward a request to a host of a region and relay its response.
 
         Args:
             request: The request.
-            region: Where it goes.
-            revision: Catalogue revision that this host decided on.
+            region: The region to forward to.
+            revision: Catalogue revision on which this host based its decision.
             check: Called right before each send; may raise RequestRefused.
-            final: True: it is served there or refused.
-            claimed: True: this host holds the claim on its idempotency key.
-            patience: Seconds to wait for the head of the answer; 0: until the
+            final: True: the other region serves or refuses the request; False: it may
+                forward it once more.
+            claimed: True: this host holds the claim on the idempotency key.
+            max_wait: Seconds to wait for the head of the response; 0: until the
                 request's deadline.
         """
         hosts = self._hosts(region)[:MAX_HOSTS]
         outcome: Outcome = Failed(
             TryResult.not_sent,
-            f"no host of region {region} is known to live",
+            f"no live host of region {region} is known",
             RetryReason.connect_failed,
             certain=True,
             region=region,
@@ -87,9 +89,9 @@
         context = self._context(request, revision, final, claimed)
         for host in hosts:
             timeout = request.deadline_left()
-            if patience:
-                timeout = min(timeout, patience)
-            outcome = await self._ask(request, host, context, check, timeout)
+            if max_wait:
+                timeout = min(timeout, max_wait)
+            outcome = await self._send(request, host, context, check, timeout)
             if not isinstance(outcome, Failed):
                 return outcome
             outcome.region = region
@@ -97,7 +99,7 @@
                 return outcome
         return outcome
 
-    async def _ask(
+    async def _send(
         self,
         request: ServedRequest,
         host: HostInfo,
@@ -106,32 +108,36 @@
         timeout: float,
     ) -> Outcome:
         trace = request.trace
-        began = trace.begin_try(host.name, host.region)
-        # Kept before it leaves: should this host die now, the other region's part
-        # of the decision is still found from the request's id.
+        current_try = trace.begin_try(host.name, host.region)
+        # Stored before the send: if this host dies now, the record names the other
+        # host, so its part of the decision can still be found by the request's id.
         await self._decisions.record(trace.record)
         context.deadline_left = request.deadline_left()
         identity = self._identity
-        own = own_headers(trace.request_id, identity.host, host.region)
-        judge = HostJudge()
+        added_headers = gateway_headers(trace.request_id, identity.host, host.region)
+        answer_check = HostAnswerCheck()
         outcome: Outcome = Failed(TryResult.cancelled, "")
 
-        async def finish(status: int) -> None:
-            trace.end_try(began, TryResult.answered, judge.served_by)
-            await self._records.answered(trace, status)
+        async def before_last_byte(status: int) -> None:
+            trace.end_try(current_try, TryResult.answered, answer_check.served_by)
+            await self._recorder.save_answered(trace, status)
 
         try:
-            outcome = await self._upstream.ask(
-                self._message(request, host, context, check, timeout),
+            outcome = await self._upstream.send(
+                self._upstream_request(request, host, context, check, timeout),
                 request.exchange,
                 trace,
-                judge,
-                own,
-                finish,
+                answer_check,
+                added_headers,
+                before_last_byte,
             )
         finally:
-            detail = outcome.detail if isinstance(outcome, Failed) else judge.served_by
-            trace.end_try(began, result_of(outcome), detail)
+            detail = (
+                outcome.detail
+                if isinstance(outcome, Failed)
+                else answer_check.served_by
+            )
+            trace.end_try(current_try, result_of(outcome), detail)
         return outcome
 
     def _context(
@@ -149,7 +155,7 @@
             digest=request.call.digest(),
         )
 
-    def _message(
+    def _upstream_request(
         self,
         request: ServedRequest,
         host: HostInfo,
@@ -178,10 +184,11 @@
         )
 
     def _hosts(self, region: RegionName) -> list[HostInfo]:
-        """Return hosts of a region to try, live ones first, less loaded ones sooner.
+        """Return the hosts of a region in the order in which they are tried.
 
-        Two are drawn and the less loaded one goes first: all hosts hold the same
-        reports, and would otherwise all send to the one that looked idlest.
+        Live hosts come before suspect ones. Of two live hosts drawn at random the less
+        loaded one goes first. All hosts have the same load reports and would otherwise
+        all choose the same least loaded host.
         """
         hosts = self._membership.hosts(region)
         live = [host for host in hosts if host.state is HostState.live]
--- a/packages/node/src/bronzepoint_node/entry/_gateway.py
+++ b/packages/node/src/bronzepoint_node/entry/_gateway.py
@@ -1,20 +1,20 @@
-"""The request path of one host: from a caller's exchange to its one answer."""
+"""The HTTP request handler of a host."""
 
 from enum import StrEnum
 
 from bronzepoint_common.http import Disconnected, Exchange, HttpError
 from bronzepoint_common.logs import get_logger
 from bronzepoint_common.settings import cluster_key
-from bronzepoint_node.entry._admin import Admin
-from bronzepoint_node.entry._answer_headers import own_headers
-from bronzepoint_node.entry._calls import Calls
+from bronzepoint_node.entry._admin_endpoints import AdminEndpoints
+from bronzepoint_node.entry._answer_headers import gateway_headers
+from bronzepoint_node.entry._call_handler import CallHandler
+from bronzepoint_node.entry._call_reader import IncomingCall
 from bronzepoint_node.entry._collaborators import Collaborators
 from bronzepoint_node.entry._forward_context import context_of
 from bronzepoint_node.entry._http_errors import refusal_of_http_error
 from bronzepoint_node.entry._identity import Identity
-from bronzepoint_node.entry._information import Information
-from bronzepoint_node.entry._reading import Incoming
-from bronzepoint_node.entry._records import Records
+from bronzepoint_node.entry._info_endpoints import InfoEndpoints
+from bronzepoint_node.entry._records import DecisionRecorder
 from bronzepoint_node.entry._refusals import (
     RequestRefused,
     refusal_answer,
@@ -35,13 +35,14 @@
 from bronzepoint_schema.ids import EntryName
 
 RETRY_ELSEWHERE = 0.1
+"""Seconds after which a caller of a closed host may send to another host."""
 KEY_HEADER = "idempotency-key"
 
 _log = get_logger("entry")
 
 
 class EntryState(StrEnum):
-    """Whether this host takes calls."""
+    """State of this host with respect to new calls; see `Gateway.state`."""
 
     live = "live"
     draining = "draining"
@@ -49,18 +50,18 @@
 
 
 class Gateway:
-    """Answers everything that callers, operators and other hosts ask over HTTP.
+    """Handles the HTTP requests of callers, operators and other hosts.
 
     Args:
         settings: This host's settings.
-        parts: The other parts of the daemon.
+        dependencies: The other components of the daemon.
 
     Attributes:
-        state: ``draining``: calls are still served, on connections that close after
-            them; ``closed``: calls are refused.
+        state: ``live``: calls are served; ``draining``: calls are served, and each
+            connection is closed after its response; ``closed``: calls are refused.
     """
 
-    def __init__(self, settings: Settings, parts: Collaborators) -> None:
+    def __init__(self, settings: Settings, dependencies: Collaborators) -> None:
         host = settings.host
         self._identity = Identity(
             host.name,
@@ -68,87 +69,95 @@
             cluster_key(settings),
             settings.agreement.in_force_bound,
         )
-        self._parts = parts
-        self._records = Records(parts.decisions)
-        self._calls = Calls(self._identity, parts, self._records)
-        self._information = Information(self._identity, parts)
-        self._admin = Admin(self._identity, parts)
+        self._dependencies = dependencies
+        self._recorder = DecisionRecorder(dependencies.decisions)
+        self._call_handler = CallHandler(self._identity, dependencies, self._recorder)
+        self._info_endpoints = InfoEndpoints(self._identity, dependencies)
+        self._admin_endpoints = AdminEndpoints(self._identity, dependencies)
         self.state = EntryState.live
 
     @property
     def in_progress(self) -> int:
-        """Calls in progress."""
-        return self._calls.in_progress.total()
+        """Number of calls in progress."""
+        return self._call_handler.in_progress.total()
 
     def in_progress_of(self, entry: EntryName) -> int:
-        """Return the calls of one entry in progress."""
-        return self._calls.in_progress[entry]
+        """Return the number of calls to one entry in progress."""
+        return self._call_handler.in_progress[entry]
 
     def drain(self) -> None:
-        """Serve on, but let each answer close its connection."""
+        """Continue to serve calls, but close each connection after its response."""
         if self.state is EntryState.live:
             self.state = EntryState.draining
 
     def refuse_calls(self) -> None:
-        """Refuse new calls; those in progress go on.
+        """Refuse new calls; calls in progress are completed.
 
-        For the end of a drain, when the directory names this host no more.
+        Called at the end of a drain, when the directory no longer lists this host.
         """
         self.state = EntryState.closed
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Handle one HTTP request."""
         if self.state is not EntryState.live:
             exchange.say_last()
         try:
             route = route_of(exchange.request)
             match route:
                 case ChatRoute() | ServiceRoute():
-                    await self._call(exchange, route)
+                    await self._serve_call(exchange, route)
                 case HostsRoute() | WhyRoute() | HealthRoute():
-                    await self._information.serve(exchange, route, self.state.value)
+                    await self._info_endpoints.serve(exchange, route, self.state.value)
                 case AdminRoute(parts):
-                    await self._admin.serve(
+                    await self._admin_endpoints.serve(
                         exchange, parts, self.state.value, self.in_progress
                     )
         except RequestRefused as exc:
             await self._refuse(exchange, exc.refusal, {})
 
     def on_http_error(self, exc: HttpError) -> tuple[int, dict[str, str], bytes]:
-        """Return the answer to bad input that no handler has seen."""
+        """Return the response to invalid HTTP input that never reached a handler.
+
+        Returns:
+            Status, headers and body.
+        """
         refusal = refusal_of_http_error(exc)
-        self._parts.metrics.incr(f"refusal.{refusal.kind.value}")
+        self._dependencies.metrics.incr(f"refusal.{refusal.kind.value}")
         _, headers, body = refusal_answer(refusal)
         return exc.status or 400, headers, body
 
-    async def _call(self, exchange: Exchange, route: ChatRoute | ServiceRoute) -> None:
+    async def _serve_call(
+        self, exchange: Exchange, route: ChatRoute | ServiceRoute
+    ) -> None:
         context = context_of(exchange.request, self._identity)
         if context is None:
-            request_id = self._parts.decisions.new_request_id()
+            request_id = self._dependencies.decisions.new_request_id()
         else:
             request_id = context.request_id
         trace = RequestTrace(request_id, self._identity.host, self._identity.region)
         try:
             if self.state is EntryState.closed:
-                raise _closed()
-            await self._calls.serve(Incoming(exchange, route, context, trace))
-            self._parts.metrics.incr("answered")
+                raise _closed_refusal()
+            await self._call_handler.serve(
+                IncomingCall(exchange, route, context, trace)
+            )
+            self._dependencies.metrics.incr("answered")
         except RequestRefused as exc:
             await self._refuse_call(exchange, exc.refusal, trace)
         except Disconnected as exc:
             trace.cancelled(str(exc))
-            self._parts.metrics.incr("cancelled")
+            self._dependencies.metrics.incr("cancelled")
             await exchange.abort()
         except HttpError as exc:
-            # Bad input in the body: the connection can't be used any further, and
-            # answering it is up to the server.
+            # The body is invalid, so the connection can't be reused; the HTTP server
+            # sends the response and closes it.
             trace.refused(refusal_of_http_error(exc), exc.status)
             raise
         except Exception:
             _log.exception("Request failed", request_id=trace.request_id)
-            await self._refuse_call(exchange, _internal(), trace)
+            await self._refuse_call(exchange, _internal_refusal(), trace)
         finally:
-            await self._records.keep(trace)
+            await self._recorder.save(trace)
 
     async def _refuse_call(
         self, exchange: Exchange, refusal: Refusal, trace: RequestTrace
@@ -159,39 +168,42 @@
         status, _, _ = refusal_answer(refusal)
         trace.refused(refusal, status)
         if exchange.started:
-            # A part has gone out: a refusal can't follow it. The caller must see
-            # that the answer isn't whole.
-            self._parts.metrics.incr(f"refusal.{refusal.kind.value}")
+            # Part of the response was already sent, so a refusal can't be sent any
+            # more. The connection is aborted to show that the response is incomplete.
+            self._dependencies.metrics.incr(f"refusal.{refusal.kind.value}")
             await exchange.abort()
             return
-        await self._records.keep(trace)
+        await self._recorder.save(trace)
         identity = self._identity
-        own = own_headers(trace.request_id, identity.host, identity.region)
-        await self._refuse(exchange, refusal, own)
+        added_headers = gateway_headers(
+            trace.request_id, identity.host, identity.region
+        )
+        await self._refuse(exchange, refusal, added_headers)
 
     async def _refuse(
-        self, exchange: Exchange, refusal: Refusal, own: dict[str, str]
+        self, exchange: Exchange, refusal: Refusal, added_headers: dict[str, str]
     ) -> None:
-        self._parts.metrics.incr(f"refusal.{refusal.kind.value}")
+        self._dependencies.metrics.incr(f"refusal.{refusal.kind.value}")
         status, headers, body = refusal_answer(refusal)
         try:
-            await exchange.respond(status, {**headers, **own}, body)
+            await exchange.respond(status, {**headers, **added_headers}, body)
         except Disconnected:
             return
 
 
 def _may_have_run_before(exchange: Exchange, trace: RequestTrace) -> bool:
-    """Return whether an earlier attempt may have run what is refused now.
+    """Return whether an earlier attempt with the same key may have run the request.
 
-    A resend is refused before its record is read, say by a limit. The attempt before
-    it may have run, so "not run" would be true of this attempt only, and a caller who
-    took it at its word would send a new request: the work would be done twice.
+    A resend can be refused before its run-once record is read, for example by a limit.
+    The earlier attempt may have run, so "not run" would be true of this attempt only.
+    A caller that relies on it would send a new request, and the work would be done
+    twice.
     """
-    keyed = KEY_HEADER in exchange.request.headers
-    return keyed and not trace.first_attempt and not trace.idempotent
+    has_key = KEY_HEADER in exchange.request.headers
+    return has_key and not trace.first_attempt and not trace.idempotent
 
 
-def _closed() -> RequestRefused:
+def _closed_refusal() -> RequestRefused:
     return refused(
         RefusalKind.draining,
         "This host is shutting down.",
@@ -200,10 +212,10 @@
     )
 
 
-def _internal() -> Refusal:
+def _internal_refusal() -> Refusal:
     return Refusal(
         RefusalKind.internal,
-        "Internal fault, see the log of this host.",
-        "Report it with the request id.",
+        "Internal error, see the log of this host.",
+        "Report the error with the request id.",
         Ran.unknown,
     )
--- a/packages/node/src/bronzepoint_node/entry/_host_judge.py
+++ b/packages/node/src/bronzepoint_node/entry/_host_answer_check.py
@@ -1,34 +1,34 @@
-"""Whether the answer of a host of another region counts."""
+"""Classification of the responses of hosts of other regions."""
 
 from bronzepoint_common.http import ClientAnswer
 from bronzepoint_node.entry._outcomes import Failed
 from bronzepoint_node.entry._refusals import REFUSAL_HEADER, parse_refusal
-from bronzepoint_node.entry._upstream import read_error
+from bronzepoint_node.entry._upstream import read_error_answer
 from bronzepoint_schema.generated.decisions import Ran, RetryReason, TryResult
 
 
-class HostJudge:
-    """Judges the head of another host's answer: a refusal doesn't count.
+class HostAnswerCheck:
+    """Detects refusals among the responses of another host.
 
     Attributes:
-        served_by: Region that the other host says has served it.
+        served_by: Region that served the request, according to the other host.
     """
 
     def __init__(self) -> None:
         self.served_by = ""
 
     async def check(self, answer: ClientAnswer) -> Failed | None:
-        """Return the refusal that the answer tells; None: it tells none."""
+        """Return the failure that a response reports; None: it is not a refusal."""
         self.served_by = answer.headers.get("bronzepoint-region", "")
         if REFUSAL_HEADER.lower() not in answer.headers:
             return None
-        whole = await read_error(answer)
-        refusal = parse_refusal(whole.headers, whole.body)
+        complete_answer = await read_error_answer(answer)
+        refusal = parse_refusal(complete_answer.headers, complete_answer.body)
         if refusal is None:
-            return Failed(TryResult.failed, "a refusal that can't be read")
+            return Failed(TryResult.failed, "the refusal can't be decoded")
         return Failed(
             TryResult.refused_by_target,
-            f"refused there: {refusal.kind}",
+            f"refused by the other region: {refusal.kind}",
             RetryReason.region_refused,
             certain=refusal.ran is Ran.no,
             refusal=refusal,
--- a/packages/node/src/bronzepoint_node/entry/_http_errors.py
+++ b/packages/node/src/bronzepoint_node/entry/_http_errors.py
@@ -1,4 +1,4 @@
-"""Bad input at the HTTP level as refusals."""
+"""Conversion of HTTP errors to refusals."""
 
 from bronzepoint_common.http import (
     BodyTooLarge,
@@ -10,10 +10,11 @@
 from bronzepoint_schema.generated.decisions import Ran, Refusal, RefusalKind
 
 RETRY_CONNECTION = 1.0
+"""Seconds after which a caller may reconnect to a host with too many connections."""
 
 
 def refusal_of_http_error(exc: HttpError) -> Refusal:
-    """Return the refusal that answers bad input."""
+    """Return the refusal for an HTTP error."""
     message, _, remedy = str(exc).rpartition(": ")
     match exc:
         case HeadTooLarge():
--- a/packages/node/src/bronzepoint_node/entry/_identity.py
+++ b/packages/node/src/bronzepoint_node/entry/_identity.py
@@ -1,4 +1,4 @@
-"""Who this host is to the request path."""
+"""Identity of this host, as the request path uses it."""
 
 from msgspec import Struct
 
@@ -9,8 +9,9 @@
     """This host.
 
     Attributes:
-        key: The cluster key; signs what is forwarded.
-        in_force_bound: Seconds within which a change is in force everywhere.
+        key: The cluster key, which signs the context of forwarded requests.
+        in_force_bound: Seconds within which a catalogue change takes effect on all
+            hosts.
     """
 
     host: HostName
--- a/packages/node/src/bronzepoint_node/entry/_information.py
+++ b/packages/node/src/bronzepoint_node/entry/_info_endpoints.py
@@ -1,4 +1,4 @@
-"""What callers may ask besides their calls: hosts, reasons, health."""
+"""HTTP endpoints that report hosts, decision records and health."""
 
 import msgspec
 
@@ -22,17 +22,17 @@
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
-class Information:
-    """Answers what is asked about the system.
+class InfoEndpoints:
+    """Serves the informational endpoints.
 
     Args:
         identity: This host.
-        parts: The other parts of the daemon.
+        dependencies: The other components of the daemon.
     """
 
-    def __init__(self, identity: Identity, parts: Collaborators) -> None:
+    def __init__(self, identity: Identity, dependencies: Collaborators) -> None:
         self._identity = identity
-        self._parts = parts
+        self._dependencies = dependencies
 
     async def serve(
         self,
@@ -40,12 +40,16 @@
         route: HostsRoute | WhyRoute | HealthRoute,
         state: str,
     ) -> None:
-        """Answer one question.
+        """Answer one request.
 
         Args:
-            exchange: The exchange.
-            route: What is asked.
-            state: Whether this host serves or drains.
+            exchange: The HTTP exchange.
+            route: The endpoint that is requested.
+            state: State of this host: live, draining or closed.
+
+        Raises:
+            RequestRefused: The sender isn't authenticated, or no record that it may
+                read was found.
         """
         match route:
             case HealthRoute():
@@ -57,7 +61,7 @@
         await exchange.respond(200, JSON_HEADERS, msgspec.json.encode(answer))
 
     def _health(self, state: str) -> StatusAnswer:
-        catalogue = self._parts.catalogue
+        catalogue = self._dependencies.catalogue
         return StatusAnswer(
             host=self._identity.host,
             region=self._identity.region,
@@ -69,35 +73,36 @@
         )
 
     def _hosts(self, exchange: Exchange) -> msgspec.Struct:
-        match require_anyone(self._parts.tokens, exchange.request):
+        match require_anyone(self._dependencies.tokens, exchange.request):
             case Caller(home=home):
-                return self._parts.directory.hosts_for(home)
+                return self._dependencies.directory.hosts_for(home)
             case Operator():
-                return self._parts.directory.hosts_for(self._identity.region)
+                return self._dependencies.directory.hosts_for(self._identity.region)
 
     async def _why(self, exchange: Exchange, request_id: RequestId) -> WhyAnswer:
-        holder = require_anyone(self._parts.tokens, exchange.request)
+        sender = require_anyone(self._dependencies.tokens, exchange.request)
         try:
-            answer = await self._parts.decisions.why(request_id)
+            answer = await self._dependencies.decisions.why(request_id)
         except WhyError as exc:
             raise _why_refused(exc) from exc
-        if isinstance(holder, Caller) and not _is_open_to(answer, holder):
-            # As if there were none: who may not read it shouldn't learn of it.
-            raise _why_refused(RecordNotFound(request_id, "none of this caller's"))
+        if isinstance(sender, Caller) and not _may_read(answer, sender):
+            # The same refusal as for a missing record, so that a caller can't find
+            # out that another owner's request exists.
+            raise _why_refused(RecordNotFound(request_id, "none for this caller"))
         return answer
 
 
-def _is_open_to(answer: WhyAnswer, caller: Caller) -> bool:
+def _may_read(answer: WhyAnswer, caller: Caller) -> bool:
     return all(record.owner in ("", caller.owner) for record in answer.records)
 
 
 def is_within_bound(catalogue: CatalogueLike, identity: Identity) -> bool:
-    """Return whether no change can be in force elsewhere that this host lacks."""
+    """Return whether this host has every change that can be in effect elsewhere."""
     return catalogue.ready and catalogue.confirmed_age() <= identity.in_force_bound
 
 
 def finite_age(age: float) -> float:
-    """Return an age, -1 where it isn't known; JSON has no infinity."""
+    """Return the age, or -1 for an infinite (unknown) one; JSON has no infinity."""
     return age if age < float("inf") else -1.0
 
 
--- a/packages/node/src/bronzepoint_node/entry/_home_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_local_tries.py
@@ -1,17 +1,17 @@
-"""Tries at targets of this host's region."""
+"""Tries of a request at targets of this host's region."""
 
 from collections.abc import Callable
 
-from bronzepoint_node.entry._answer_headers import ECHO_HEADER, own_headers
+from bronzepoint_node.entry._answer_headers import ECHO_HEADER, gateway_headers
 from bronzepoint_node.entry._call import PRIORITIES
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
 from bronzepoint_node.entry._collaborators import Collaborators
 from bronzepoint_node.entry._dispatch_permit import permit_dispatch
 from bronzepoint_node.entry._identity import Identity
 from bronzepoint_node.entry._outcomes import Answered, Failed, Outcome, result_of
-from bronzepoint_node.entry._records import Records
+from bronzepoint_node.entry._records import DecisionRecorder
 from bronzepoint_node.entry._served_request import ServedRequest
-from bronzepoint_node.entry._target_judge import TargetJudge
+from bronzepoint_node.entry._target_answer_check import TargetAnswerCheck
 from bronzepoint_node.entry._upstream import Upstream, UpstreamRequest
 from bronzepoint_node.policy import Home, Ticket
 from bronzepoint_node.run_once import ClaimToken
@@ -19,111 +19,113 @@
 from bronzepoint_schema.generated.decisions import RetryReason, Try, TryResult
 
 
-class HomeTries:
-    """Sends requests to targets, and tells everyone how that ended.
+class LocalTries:
+    """Sends requests to targets and reports the result to policy, targets and trace.
 
     Args:
         identity: This host.
-        parts: The other parts of the daemon.
-        check: The catalogue as it is now.
-        upstream: Sends and relays.
-        records: Keeps the decision records.
+        dependencies: The other components of the daemon.
+        check: Checks a request against the current catalogue.
+        upstream: Sends the request and relays the response.
+        recorder: Stores the decision records.
     """
 
     def __init__(
         self,
         identity: Identity,
-        parts: Collaborators,
+        dependencies: Collaborators,
         check: CatalogueCheck,
         upstream: Upstream,
-        records: Records,
+        recorder: DecisionRecorder,
     ) -> None:
         self._identity = identity
-        self._parts = parts
+        self._dependencies = dependencies
         self._check = check
         self._upstream = upstream
-        self._records = records
+        self._recorder = recorder
 
     async def try_target(
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placed: Home,
+        placement: Home,
         token: ClaimToken | None,
     ) -> Outcome:
-        """Try the chosen target; counts the request there before anything is awaited.
+        """Send the request to the chosen target.
+
+        The request is counted as in progress at the target before the first await.
 
         Args:
             request: The request.
-            ticket: What it holds of its limits.
-            placed: The choice.
-            token: The claim on its idempotency key, for non-idempotent ones.
+            ticket: Admission of the request under its limits.
+            placement: The placement that the policy chose.
+            token: The claim on the idempotency key; None: an idempotent request.
         """
-        name = placed.target.name
-        self._parts.targets.begin(name, request.view.prefix_hashes)
-        began = request.trace.begin_try(name, self._identity.region)
+        name = placement.target.name
+        self._dependencies.targets.begin(name, request.view.prefix_hashes)
+        current_try = request.trace.begin_try(name, self._identity.region)
         outcome: Outcome = Failed(TryResult.cancelled, "")
         try:
-            outcome = await self._ask(request, ticket, placed, token, began)
+            outcome = await self._send(request, ticket, placement, token, current_try)
         finally:
             result = result_of(outcome)
             detail = outcome.detail if isinstance(outcome, Failed) else ""
-            request.trace.end_try(began, result, detail)
+            request.trace.end_try(current_try, result, detail)
             first = outcome.first_byte if isinstance(outcome, Answered) else None
-            self._parts.targets.finish(name, result, first or 0.0)
-            await self._parts.policy.try_ended(ticket, placed, result, first)
+            self._dependencies.targets.finish(name, result, first or 0.0)
+            await self._dependencies.policy.try_ended(ticket, placement, result, first)
         return outcome
 
-    async def _ask(
+    async def _send(
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placed: Home,
+        placement: Home,
         token: ClaimToken | None,
-        began: Try,
+        current_try: Try,
     ) -> Outcome:
         identity = self._identity
-        name = placed.target.name
+        name = placement.target.name
         target = self._check.target(request, identity.region, name)
         if target is None:
             return Failed(
                 TryResult.not_sent,
-                "the catalogue doesn't give this target new work any more",
+                "the catalogue no longer allows new requests for this target",
                 RetryReason.target_leaving,
                 certain=True,
             )
-        permit = await permit_dispatch(self._parts.run_once, token)
+        permit = await permit_dispatch(self._dependencies.run_once, token)
 
         def check() -> None:
             permit.check()
             self._check.region(request, identity.region)
 
-        judge = TargetJudge(
+        answer_check = TargetAnswerCheck(
             request.entry,
             request.call.idempotent,
-            lambda reason: self._parts.policy.may_retry(ticket, reason),
-            lambda headers: self._parts.targets.note_answer(name, headers),
+            lambda reason: self._dependencies.policy.may_retry(ticket, reason),
+            lambda headers: self._dependencies.targets.note_answer(name, headers),
         )
 
-        async def finish(status: int) -> None:
-            result = TryResult.failed if judge.error else TryResult.answered
-            request.trace.end_try(began, result)
-            await self._records.answered(request.trace, status)
+        async def before_last_byte(status: int) -> None:
+            result = TryResult.failed if answer_check.error else TryResult.answered
+            request.trace.end_try(current_try, result)
+            await self._recorder.save_answered(request.trace, status)
 
-        outcome = await self._upstream.ask(
-            _message(request, target, check),
+        outcome = await self._upstream.send(
+            _upstream_request(request, target, check),
             request.exchange,
             request.trace,
-            judge,
-            own_headers(request.trace.request_id, identity.host, identity.region),
-            finish,
+            answer_check,
+            gateway_headers(request.trace.request_id, identity.host, identity.region),
+            before_last_byte,
         )
         if isinstance(outcome, Answered):
-            outcome.failed = judge.error
+            outcome.failed = answer_check.error
         return outcome
 
 
-def _message(
+def _upstream_request(
     request: ServedRequest, target: Target, check: Callable[[], None]
 ) -> UpstreamRequest:
     call = request.call
--- a/packages/node/src/bronzepoint_node/entry/_outcomes.py
+++ b/packages/node/src/bronzepoint_node/entry/_outcomes.py
@@ -1,4 +1,4 @@
-"""How one try ended."""
+"""Outcomes of one try of a request."""
 
 from msgspec import Struct
 
@@ -6,13 +6,16 @@
 
 
 class Answered(Struct):
-    """A whole answer came.
+    """A complete response was received.
 
     Attributes:
-        passed_on: True: the caller has it already; ``body`` is empty then.
-        tokens: Events of a stream, or 0.
+        passed_on: True: the response was already sent to the caller, and ``body`` is
+            empty.
+        tokens: Generated tokens, counted by the events of a stream or as stated in the
+            response; 0: unknown.
         first_byte: Seconds from the send until the first byte of the body.
-        failed: True: passed on, though it speaks against the target's health.
+        failed: True: the response counts as a failure for the target's health, though
+            the caller gets it.
     """
 
     status: int
@@ -25,15 +28,16 @@
 
 
 class Failed(Struct):
-    """No whole answer came.
+    """No complete response was received, or it was a refusal or error.
 
     Attributes:
-        reason: Why another try may follow; None: none may.
+        reason: Reason for a retry; None: the request may not be retried.
         certain: True: the request certainly did not run in this try.
-        refusal: What another host, or the target, said about it.
+        refusal: The refusal that another host answered with, if any.
         granted: True: the retry budget has already allowed another try.
-        region: Another region that it was sent to; empty: a target of this one.
-        started: True: a part of the answer has reached the caller.
+        region: The other region that it was sent to; empty: a target of this region.
+        started: True: part of the response was already sent to the caller.
+        retry_after: Seconds after which the request may be sent again; 0: unknown.
     """
 
     result: TryResult
@@ -48,7 +52,7 @@
 
 
 def result_of(outcome: "Outcome") -> TryResult:
-    """Return what the decision record and the target's health take from it."""
+    """Return the result for the decision record and for the target's health."""
     match outcome:
         case Answered(failed=False):
             return TryResult.answered
--- a/packages/node/src/bronzepoint_node/entry/_records.py
+++ b/packages/node/src/bronzepoint_node/entry/_records.py
@@ -1,30 +1,30 @@
-"""Keeps decision records at the right moments."""
+"""Storage of decision records before their responses are complete."""
 
 from bronzepoint_node.entry._collaborators import DecisionsLike
 from bronzepoint_node.entry._trace import RequestTrace
 
 
-class Records:
-    """Keeps the record of a request before its caller has the whole answer.
+class DecisionRecorder:
+    """Stores the record of a request before its response is complete.
 
-    Kept after it, a caller who asks at once for the record of its request could
-    be told that there is no such request.
+    If it were stored later, a caller that looks up the record right after the response
+    could get "not found".
 
     Args:
-        decisions: Where records are kept.
+        decisions: Stores the records.
     """
 
     def __init__(self, decisions: DecisionsLike) -> None:
         self._decisions = decisions
 
-    async def keep(self, trace: RequestTrace) -> None:
-        """Keep a record, unless it was kept as it is."""
-        if trace.kept:
+    async def save(self, trace: RequestTrace) -> None:
+        """Store the record, unless it is unchanged since it was last stored."""
+        if trace.saved:
             return
-        trace.kept = True
+        trace.saved = True
         await self._decisions.record(trace.record)
 
-    async def answered(self, trace: RequestTrace, status: int) -> None:
-        """Note that the last byte of the answer is about to go out, and keep that."""
+    async def save_answered(self, trace: RequestTrace, status: int) -> None:
+        """Mark the request as answered, right before the last byte, and store it."""
         trace.answered(status)
-        await self.keep(trace)
+        await self.save(trace)
--- a/packages/node/src/bronzepoint_node/entry/_refusals.py
+++ b/packages/node/src/bronzepoint_node/entry/_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: why a request isn't answered, as an exception and as an HTTP answer."""
+"""Refusals of requests, as exceptions and as HTTP responses."""
 
 import math
 
@@ -12,7 +12,8 @@
 )
 
 REFUSAL_HEADER = "Bronzepoint-Refusal"
-"""Carries the refusal's kind; a target's own error answer doesn't have it."""
+"""Header with the kind of the refusal. It tells a refusal of the gateway from an error
+response of a target, which doesn't have it."""
 
 STATUS = {
     RefusalKind.bad_request: 400,
@@ -46,11 +47,15 @@
     RefusalKind.conflict: 409,
     RefusalKind.internal: 500,
 }
-"""HTTP status of each kind."""
+"""HTTP status of each kind of refusal."""
 
 
 class RequestRefused(Exception):
-    """Ends a request with a refusal."""
+    """A request was refused.
+
+    Attributes:
+        refusal: The refusal for the caller.
+    """
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(f"{refusal.kind}: {refusal.message} {refusal.remedy}")
@@ -64,21 +69,21 @@
     retry_after: float = 0.0,
     ran: Ran = Ran.no,
 ) -> RequestRefused:
-    """Make the exception for one refusal.
+    """Return the exception for a refusal.
 
     Args:
-        kind: Selects the HTTP status and the counter.
-        message: What is wrong, a sentence.
-        remedy: What to do about it, a sentence.
-        retry_after: Seconds until another try makes sense; 0: no use in retrying.
-        ran: ``unknown`` where some host or target may have run it. What this host
-            itself has sent is added when the refusal is answered.
+        kind: Kind of the refusal, which selects the HTTP status and the counter.
+        message: What is wrong, in one sentence.
+        remedy: What the caller can do about it, in one sentence.
+        retry_after: Seconds after which a retry may succeed; 0: a retry is of no use.
+        ran: ``unknown`` if another host or a target may have run the request. Whether
+            this host has sent it is taken into account when the refusal is answered.
     """
     return RequestRefused(Refusal(kind, message, remedy, ran, retry_after))
 
 
 def refusal_answer(refusal: Refusal) -> tuple[int, dict[str, str], bytes]:
-    """Return status, headers and body of the answer that tells a refusal."""
+    """Return status, headers and body of the HTTP response for a refusal."""
     headers = {"Content-Type": "application/json", REFUSAL_HEADER: refusal.kind.value}
     if refusal.retry_after > 0:
         headers["Retry-After"] = str(math.ceil(refusal.retry_after))
@@ -89,7 +94,7 @@
 
 
 def parse_refusal(headers: dict[str, str], body: bytes) -> Refusal | None:
-    """Read the refusal of another host; None where the answer isn't one."""
+    """Return the refusal in another host's response; None: it contains no refusal."""
     if REFUSAL_HEADER.lower() not in headers:
         return None
     try:
--- a/packages/node/src/bronzepoint_node/entry/_region_views.py
+++ b/packages/node/src/bronzepoint_node/entry/_region_views.py
@@ -1,4 +1,4 @@
-"""What is known of an entry in each region, as the policy takes it."""
+"""State of an entry in each region, in the form that the policy uses."""
 
 from bronzepoint_node.membership import RegionSummary
 from bronzepoint_node.policy import RegionView
@@ -33,8 +33,8 @@
     )
     load = summary.entries.get(entry.name)
     if load is None:
-        # Reports name the entries in use only: one that nobody uses there is idle,
-        # and all the targets that the catalogue has there count as free.
+        # Load reports contain only entries in use. An entry that is missing is idle
+        # in that region, so all its targets there count as free.
         view.slots = sum(target.slots for target in targets)
         view.cost = sum(target.cost for target in targets) / len(targets)
         return view
--- a/packages/node/src/bronzepoint_node/entry/_relay.py
+++ b/packages/node/src/bronzepoint_node/entry/_relay.py
@@ -1,4 +1,4 @@
-"""Passing an answer on to its caller while it arrives."""
+"""Relaying of responses to callers while they arrive."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -7,15 +7,17 @@
 from bronzepoint_node.entry._outcomes import Answered
 from bronzepoint_node.entry._usage import completion_tokens
 
-Finish = Callable[[int], Awaitable[None]]
+BeforeLastByte = Callable[[int], Awaitable[None]]
+"""Awaited with the HTTP status, right before the last byte of a response is sent."""
 
-MAX_HELD = 262144
-"""Bytes of an answer that are held until it is whole, so that a cut one can still
-be asked for again; longer ones are passed on as they come."""
+MAX_BUFFERED = 262144
+"""Bytes of a response that are buffered until it is complete, so that a truncated one
+can be retried. Longer responses are relayed as they arrive."""
 MAX_COLLECTED = 8 << 20
-"""Bytes of a non-idempotent call's answer: it is held until it has been recorded."""
+"""Largest response to a non-idempotent call, in bytes. It is buffered as a whole, since
+it must be recorded before the caller gets it."""
 STALL_TIMEOUT = 30.0
-"""Seconds for which a target may send nothing in the middle of an answer."""
+"""Seconds for which a target may send nothing in the middle of a response."""
 EVENT_STREAM = "text/event-stream"
 EVENT_END = b"\n\n"
 
@@ -24,43 +26,48 @@
     answer: ClientAnswer,
     exchange: Exchange,
     headers: dict[str, str],
-    sent: float,
-    finish: Finish,
+    sent_at: float,
+    before_last_byte: BeforeLastByte,
 ) -> Answered:
-    """Pass an answer on to the caller, a stream piece by piece.
+    """Relay a response to the caller, event streams and long ones chunk by chunk.
 
     Args:
-        answer: The target's answer, of which only the head was read.
+        answer: The target's response, of which only the head was read.
         exchange: The caller's exchange.
-        headers: Headers for the caller.
-        sent: Monotonic seconds at which the request was sent.
-        finish: Awaited right before the last byte goes out.
+        headers: Response headers for the caller.
+        sent_at: Monotonic time in seconds at which the request was sent.
+        before_last_byte: Awaited with the status, right before the last byte is sent.
 
     Raises:
-        HttpError: The answer was cut or the caller left; see ``exchange.started``.
+        HttpError: The response was truncated or the caller disconnected;
+            ``exchange.started`` tells whether a part was already sent.
     """
     if answer.headers.get("content-type", "").startswith(EVENT_STREAM):
-        return await _relay_stream(answer, exchange, headers, sent, finish, b"")
-    held = bytearray()
+        return await _relay_stream(
+            answer, exchange, headers, sent_at, before_last_byte, b""
+        )
+    buffered = bytearray()
     first_byte = None
-    while piece := await answer.read():
+    while chunk := await answer.read():
         if first_byte is None:
-            first_byte = time.monotonic() - sent
+            first_byte = time.monotonic() - sent_at
             answer.timeout = STALL_TIMEOUT
-        held += piece
-        if len(held) > MAX_HELD:
+        buffered += chunk
+        if len(buffered) > MAX_BUFFERED:
             return await _relay_stream(
-                answer, exchange, headers, sent, finish, bytes(held)
+                answer, exchange, headers, sent_at, before_last_byte, bytes(buffered)
             )
     if first_byte is None:
-        first_byte = time.monotonic() - sent
-    await finish(answer.status)
-    await exchange.respond(answer.status, headers, bytes(held))
+        first_byte = time.monotonic() - sent_at
+    await before_last_byte(answer.status)
+    await exchange.respond(answer.status, headers, bytes(buffered))
     return Answered(
         answer.status,
         headers,
         passed_on=True,
-        tokens=completion_tokens(answer.headers.get("content-type", ""), bytes(held)),
+        tokens=completion_tokens(
+            answer.headers.get("content-type", ""), bytes(buffered)
+        ),
         first_byte=first_byte,
     )
 
@@ -69,26 +76,27 @@
     answer: ClientAnswer,
     exchange: Exchange,
     headers: dict[str, str],
-    sent: float,
-    finish: Finish,
-    held: bytes,
+    sent_at: float,
+    before_last_byte: BeforeLastByte,
+    buffered: bytes,
 ) -> Answered:
-    # Nothing goes out before the first piece is there: until then a failed target
-    # can be replaced by another one without the caller noticing.
-    piece = held or await answer.read()
-    first_byte = time.monotonic() - sent
+    # Nothing is sent to the caller before the first chunk has arrived. Until then a
+    # failed request can be retried at another target.
+    chunk = buffered or await answer.read()
+    first_byte = time.monotonic() - sent_at
     answer.timeout = STALL_TIMEOUT
     await exchange.start_stream(answer.status, headers)
     events = 0
-    open_line = False
-    while piece:
-        await exchange.send(piece)
-        events += piece.count(EVENT_END)
-        if open_line and piece.startswith(b"\n"):
+    # True while a chunk has ended with the first half of an event separator.
+    split_separator = False
+    while chunk:
+        await exchange.send(chunk)
+        events += chunk.count(EVENT_END)
+        if split_separator and chunk.startswith(b"\n"):
             events += 1
-        open_line = piece.endswith(b"\n") and not piece.endswith(EVENT_END)
-        piece = await answer.read()
-    await finish(answer.status)
+        split_separator = chunk.endswith(b"\n") and not chunk.endswith(EVENT_END)
+        chunk = await answer.read()
+    await before_last_byte(answer.status)
     await exchange.end()
     return Answered(
         answer.status,
@@ -100,20 +108,24 @@
 
 
 async def collect(
-    answer: ClientAnswer, headers: dict[str, str], sent: float, address: str
+    answer: ClientAnswer, headers: dict[str, str], sent_at: float, address: str
 ) -> Answered:
-    """Read a whole answer; the caller gets it later."""
-    parts = []
+    """Read a complete response, which is sent to the caller later.
+
+    Raises:
+        AnswerMalformed: It is longer than MAX_COLLECTED.
+    """
+    chunks = []
     size = 0
     first_byte = None
-    while piece := await answer.read():
+    while chunk := await answer.read():
         if first_byte is None:
-            first_byte = time.monotonic() - sent
+            first_byte = time.monotonic() - sent_at
             answer.timeout = STALL_TIMEOUT
-        size += len(piece)
+        size += len(chunk)
         if size > MAX_COLLECTED:
             raise AnswerMalformed(address, f"more than {MAX_COLLECTED} bytes")
-        parts.append(piece)
+        chunks.append(chunk)
     if first_byte is None:
-        first_byte = time.monotonic() - sent
-    return Answered(answer.status, headers, b"".join(parts), first_byte=first_byte)
+        first_byte = time.monotonic() - sent_at
+    return Answered(answer.status, headers, b"".join(chunks), first_byte=first_byte)
--- a/packages/node/src/bronzepoint_node/entry/_away_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_remote_tries.py
@@ -1,4 +1,4 @@
-"""Tries at other regions."""
+"""Tries of a request in other regions."""
 
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
 from bronzepoint_node.entry._collaborators import Collaborators
@@ -11,19 +11,19 @@
 from bronzepoint_schema.generated.decisions import TryResult
 
 
-class AwayTries:
-    """Forwards requests that the policy sends to another region.
+class RemoteTries:
+    """Forwards requests that the policy has placed in another region.
 
     Args:
-        parts: The other parts of the daemon.
-        check: The catalogue as it is now.
-        forwarding: Sends to hosts of other regions.
+        dependencies: The other components of the daemon.
+        check: Checks a request against the current catalogue.
+        forwarding: Sends requests to hosts of other regions.
     """
 
     def __init__(
-        self, parts: Collaborators, check: CatalogueCheck, forwarding: Forwarding
+        self, dependencies: Collaborators, check: CatalogueCheck, forwarding: Forwarding
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._check = check
         self._forwarding = forwarding
 
@@ -31,42 +31,42 @@
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placed: Away,
+        placement: Away,
         token: ClaimToken | None,
     ) -> Outcome:
-        """Try the chosen region; it serves the request or refuses it.
+        """Forward the request to the chosen region, which serves or refuses it.
 
         Args:
             request: The request.
-            ticket: What it holds of its limits.
-            placed: The choice.
-            token: The claim on its idempotency key, for non-idempotent ones.
+            ticket: Admission of the request under its limits.
+            placement: The placement that the policy chose.
+            token: The claim on the idempotency key; None: an idempotent request.
         """
         outcome: Outcome = Failed(TryResult.cancelled, "")
         try:
-            outcome = await self._forward(request, placed, token)
+            outcome = await self._forward(request, placement, token)
         finally:
             result = result_of(outcome)
             first = outcome.first_byte if isinstance(outcome, Answered) else None
-            await self._parts.policy.try_ended(ticket, placed, result, first)
+            await self._dependencies.policy.try_ended(ticket, placement, result, first)
         return outcome
 
     async def _forward(
-        self, request: ServedRequest, placed: Away, token: ClaimToken | None
+        self, request: ServedRequest, placement: Away, token: ClaimToken | None
     ) -> Outcome:
-        permit = await permit_dispatch(self._parts.run_once, token)
+        permit = await permit_dispatch(self._dependencies.run_once, token)
 
         def check() -> None:
             permit.check()
-            self._check.region(request, placed.region)
+            self._check.region(request, placement.region)
 
         check()
         return await self._forwarding.forward(
             request,
-            placed.region,
-            self._parts.catalogue.revision,
+            placement.region,
+            self._dependencies.catalogue.revision,
             check,
             final=True,
             claimed=token is not None,
-            patience=placed.patience if request.call.idempotent else 0.0,
+            max_wait=placement.patience if request.call.idempotent else 0.0,
         )
--- a/packages/node/src/bronzepoint_node/entry/_residency.py
+++ b/packages/node/src/bronzepoint_node/entry/_residency.py
@@ -1,4 +1,4 @@
-"""Where a request may be served."""
+"""Residency rules: the regions in which a request may be served."""
 
 from bronzepoint_schema.generated.catalogue import (
     ModelEntry,
@@ -18,9 +18,9 @@
     """Return the regions that may serve a caller's request to an entry.
 
     Args:
-        entry: The entry, as this host's view has it now.
+        entry: The entry in this host's current view of the catalogue.
         home: Home region of the caller.
-        bound_home: True: the caller narrows it to its home region.
+        bound_home: True: the caller allows only its home region.
     """
     allowed = _by_rule(entry.residency, home)
     return intersect(allowed, [home]) if bound_home else allowed
@@ -37,7 +37,7 @@
 
 
 def intersect(first: Regions, second: Regions) -> Regions:
-    """Return the regions that both allow."""
+    """Return the regions that are in both sets of allowed regions."""
     if first is None:
         return second
     if second is None:
--- a/packages/node/src/bronzepoint_node/entry/_route.py
+++ b/packages/node/src/bronzepoint_node/entry/_route.py
@@ -1,4 +1,4 @@
-"""Which path means what."""
+"""Routing of HTTP requests by method and path."""
 
 from msgspec import Struct
 
@@ -9,18 +9,18 @@
 
 
 class ChatRoute(Struct, frozen=True):
-    """A model call."""
+    """A chat-completions call to a model."""
 
 
 class ServiceRoute(Struct, frozen=True):
-    """A call of a plain service; ``path`` starts with '/'."""
+    """A call to a plain service; ``path`` starts with '/'."""
 
     entry: EntryName
     path: str
 
 
 class HostsRoute(Struct, frozen=True):
-    """Which hosts a caller should use."""
+    """The list of hosts that a caller should use."""
 
 
 class WhyRoute(Struct, frozen=True):
@@ -30,14 +30,14 @@
 
 
 class HealthRoute(Struct, frozen=True):
-    """Whether this process serves."""
+    """The state of this host."""
 
 
 class AdminRoute(Struct, frozen=True):
-    """An operator's call.
+    """An operator's request.
 
     Attributes:
-        parts: The method, then what follows ``/v1/admin/``.
+        parts: The method, followed by the path segments after ``/v1/admin/``.
     """
 
     parts: tuple[str, ...]
@@ -47,7 +47,11 @@
 
 
 def route_of(request: Request) -> Route:
-    """Return what a request asks for; refuses paths that mean nothing."""
+    """Return the route of a request.
+
+    Raises:
+        RequestRefused: There is no such method and path.
+    """
     parts = request.path.split("/")[1:]
     match request.method, parts:
         case "POST", ["v1", "chat", "completions"]:
--- a/packages/node/src/bronzepoint_node/entry/_once.py
+++ b/packages/node/src/bronzepoint_node/entry/_run_once_calls.py
@@ -1,8 +1,8 @@
-"""Non-idempotent calls: claimed before dispatch, resends answered from the record."""
+"""Non-idempotent calls, which run at most once for each idempotency key."""
 
 from typing import NoReturn
 
-from bronzepoint_node.entry._answer_headers import REPLAYED_HEADER, own_headers
+from bronzepoint_node.entry._answer_headers import REPLAYED_HEADER, gateway_headers
 from bronzepoint_node.entry._collaborators import Collaborators
 from bronzepoint_node.entry._dispatch import Dispatcher
 from bronzepoint_node.entry._identity import Identity
@@ -30,24 +30,27 @@
 class RunOnceCalls:
     """Serves non-idempotent calls.
 
+    A call is dispatched only after its key was claimed. A resend gets the response
+    that was recorded for the first run.
+
     Args:
         identity: This host.
-        parts: The other parts of the daemon.
-        dispatcher: Brings a claimed call to its answer.
+        dependencies: The other components of the daemon.
+        dispatcher: Sends a claimed call to a target or region.
     """
 
     def __init__(
-        self, identity: Identity, parts: Collaborators, dispatcher: Dispatcher
+        self, identity: Identity, dependencies: Collaborators, dispatcher: Dispatcher
     ) -> None:
         self._identity = identity
-        self._parts = parts
+        self._dependencies = dependencies
         self._dispatcher = dispatcher
 
     async def serve(self, request: ServedRequest, ticket: Ticket) -> Answered:
-        """Run a call at most once, or give the answer of its first run.
+        """Run a call at most once, or return the recorded response of its first run.
 
         Raises:
-            RequestRefused: It was not answered.
+            RequestRefused: The call was refused.
         """
         result = await self._claim(request)
         request.trace.note(f"run-once record: {type(result).__name__.lower()}")
@@ -60,16 +63,16 @@
 
     async def _claim(self, request: ServedRequest) -> ClaimResult:
         call = request.call
-        # The caller is part of it: a key that two callers chose alike must not show
-        # one of them the other's answer.
+        # The caller is part of the digest: if two callers choose the same key, neither
+        # may get the response to the other's request.
         digest = call.digest() + request.caller.name.encode()
         try:
-            return await self._parts.run_once.claim(
+            return await self._dependencies.run_once.claim(
                 call.key, digest, request.trace.request_id
             )
         except (InvalidKey, KeyAhead) as exc:
-            # No host has ever taken a key that isn't one. One that is ahead of this
-            # host's clock may have been taken by another host.
+            # No host accepts an invalid key, so the request never ran. A key whose
+            # time is ahead of this host's clock may have been accepted by another host.
             request.trace.first_attempt = isinstance(exc, InvalidKey)
             message, _, remedy = str(exc).partition("; ")
             raise refused(RefusalKind.bad_request, message, remedy) from exc
@@ -82,38 +85,39 @@
         try:
             answered = await self._dispatcher.run(request, ticket, token)
         except BaseException:
-            # Also where this task is cancelled: released only if nothing was sent,
-            # or a resend would run a request that may have run.
+            # Also reached when this task is cancelled. The key is released only if
+            # nothing was sent, since a resend would otherwise run a request that may
+            # already have run.
             if trace.may_have_run:
-                await self._parts.run_once.finish(token, None)
+                await self._dependencies.run_once.finish(token, None)
             else:
-                await self._parts.run_once.release(token)
+                await self._dependencies.run_once.release(token)
             raise
-        # Recorded before the caller gets it: an answer that the caller has seen must
-        # be the one that a resend gets, on whichever host.
+        # Recorded before it is sent to the caller: a resend to any host must get the
+        # same response that the caller has already seen.
         stored = StoredAnswer(
             answered.status, answered.body, _stored_headers(answered.headers)
         )
-        if not await self._parts.run_once.finish(token, stored):
-            trace.note("run-once record: no majority has the answer yet")
+        if not await self._dependencies.run_once.finish(token, stored):
+            trace.note("run-once record: no majority has stored the answer yet")
         return answered
 
     def _replay(self, request: ServedRequest, answer: StoredAnswer) -> Answered:
         if not answer.complete:
             raise refused(
                 RefusalKind.run_unknown,
-                f"It ran before and was answered with status {answer.status}; the "
-                "answer was too large to keep.",
+                f"The request ran before, with status {answer.status}; the answer was "
+                "too large to store.",
                 "Look the result up at the service itself.",
                 ran=Ran.unknown,
             )
         identity = self._identity
         headers = dict(answer.headers)
         headers.update(
-            own_headers(request.trace.request_id, identity.host, identity.region)
+            gateway_headers(request.trace.request_id, identity.host, identity.region)
         )
         headers[REPLAYED_HEADER] = "1"
-        self._parts.metrics.incr("run_once.replayed")
+        self._dependencies.metrics.incr("run_once.replayed")
         return Answered(answer.status, headers, answer.body)
 
     def _refuse(self, request: ServedRequest, result: ClaimResult) -> NoReturn:
--- a/packages/node/src/bronzepoint_node/entry/_served_request.py
+++ b/packages/node/src/bronzepoint_node/entry/_served_request.py
@@ -1,4 +1,4 @@
-"""One request on its way through this host."""
+"""A validated request that this host is serving."""
 
 from msgspec import Struct
 
@@ -13,13 +13,13 @@
 
 
 class ServedRequest(Struct):
-    """One request on its way through this host.
+    """A validated request that this host is serving.
 
     Attributes:
-        entry: The entry, as the view had it when the request came in.
-        view: What the policy sees of the request.
-        deadline: Seconds after arrival until the first byte is worth nothing.
-        context: What the forwarding host said; None: it came from its caller.
+        entry: The entry in the catalogue view at the request's arrival.
+        view: The properties of the request that the policy uses.
+        deadline: Seconds after arrival from which the first byte is of no use.
+        context: Context of a forwarded request; None: it came from its caller.
     """
 
     exchange: Exchange
@@ -32,20 +32,24 @@
     context: ForwardContext | None = None
 
     def deadline_left(self) -> float:
-        """Return the seconds left until the first byte is worth nothing."""
+        """Return the seconds left until the deadline."""
         return self.deadline - self.trace.elapsed()
 
     def visited(self) -> list[VisitedHost]:
-        """Return the hosts that have handled the request, this one last."""
+        """Return the hosts that have handled the request, ending with this one."""
         before = self.context.visited if self.context is not None else []
         record = self.trace.record
         return [*before, VisitedHost(record.host, record.region)]
 
     def allowed_by(self, entry: ModelEntry | ServiceEntry) -> Regions:
-        """Return the regions that may serve it by an entry as it is now.
+        """Return the regions that may serve the request.
 
-        What the forwarding host allowed bounds it too: while a change spreads, either
-        host may have the older view, and neither may widen what the other's forbids.
+        The regions must also be allowed by the forwarding host. While a catalogue
+        change propagates, either host may have the older view, and neither may allow
+        a region that the other forbids.
+
+        Args:
+            entry: The request's entry in the current view of the catalogue.
         """
         allowed = allowed_regions(entry, self.caller.home, self.call.bound_home)
         if self.context is None:
--- a/packages/node/src/bronzepoint_node/entry/_target_judge.py
+++ b/packages/node/src/bronzepoint_node/entry/_target_answer_check.py
@@ -1,4 +1,4 @@
-"""Whether a target's answer counts, or another target should be tried."""
+"""Classification of a target's response as an answer or as a failed try."""
 
 from collections.abc import Callable
 
@@ -9,25 +9,29 @@
 from bronzepoint_schema.generated.decisions import RetryReason, TryResult
 
 OVERLOADED = (429, 503)
+"""HTTP statuses of a target that is overloaded or shutting down."""
 SERVER_ERROR = 500
+"""Lowest HTTP status of a server error."""
 DEFAULT_RETRY_AFTER = 1.0
+"""Seconds until a retry if an overloaded target sends no usable Retry-After header."""
 
 
-class TargetJudge:
-    """Judges the head of a target's answer.
+class TargetAnswerCheck:
+    """Classifies a target's response by its head.
 
-    A model engine that answers 429 or 503 has not run the request; a plain service
-    says nothing of that kind, so its error answers are passed on as they are once
-    no other target may be tried, and those of non-idempotent calls always.
+    A model engine that answers 429 or 503 has not run the request. A plain service
+    gives no such guarantee, so its error responses are relayed to the caller when no
+    other target may be tried. The error responses to non-idempotent calls are always
+    relayed.
 
     Args:
         entry: The entry that the target serves.
-        idempotent: False: whatever it answers is the answer.
-        may_retry: Asks whether another try may follow.
-        on_answer: Takes the headers of any of the target's answers.
+        idempotent: False: every response is relayed to the caller.
+        may_retry: Returns whether the retry budget allows another try.
+        on_answer: Called with the headers of every response of the target.
 
     Attributes:
-        error: True once an answer counted that speaks against the target's health.
+        error: True: a relayed response counts as a failure for the target's health.
     """
 
     def __init__(
@@ -44,7 +48,7 @@
         self.error = False
 
     async def check(self, answer: ClientAnswer) -> Failed | None:
-        """Return why the answer doesn't count; None: it does."""
+        """Return the failure that a response means; None: it goes to the caller."""
         self._on_answer(answer.headers)
         if not self._idempotent:
             return None
--- a/packages/node/src/bronzepoint_node/entry/_trace.py
+++ b/packages/node/src/bronzepoint_node/entry/_trace.py
@@ -1,4 +1,4 @@
-"""Builds the decision record of one request along its way."""
+"""Decision record of a request while it is served."""
 
 import time
 
@@ -14,19 +14,20 @@
 from bronzepoint_schema.ids import HostName, RegionName, RequestId
 
 MAX_CANDIDATES = 24
-"""Candidates kept of one placement; a record stays small at any size of the fleet."""
+"""Candidates of one placement that are recorded. The limit keeps a record small,
+however many targets and regions there are."""
 
 
 class RequestTrace:
-    """The decision record of one request while it is decided.
+    """Builds the decision record of a request.
 
     Attributes:
         record: The record so far.
-        may_have_run: True once it isn't certain any more that no target ran it.
-        first_attempt: True once it is certain that no earlier attempt with the same
-            idempotency key has run it.
-        kept: True while the record is kept as it is.
-        idempotent: whether the call is; None: not known yet.
+        may_have_run: True: a target may have run the request.
+        first_attempt: True: no earlier attempt with the same idempotency key has run
+            the request.
+        saved: True: the record has not changed since it was last stored.
+        idempotent: Whether the call is idempotent; None: not known yet.
     """
 
     def __init__(
@@ -36,8 +37,8 @@
         self.may_have_run = False
         self.first_attempt = False
         self.idempotent: bool | None = None
-        self.kept = False
-        self._began = time.monotonic()
+        self.saved = False
+        self._started_at = time.monotonic()
 
     @property
     def request_id(self) -> RequestId:
@@ -45,22 +46,22 @@
         return self.record.request_id
 
     def elapsed(self) -> float:
-        """Return the seconds since the request arrived here."""
-        return time.monotonic() - self._began
+        """Return the seconds since the request arrived at this host."""
+        return time.monotonic() - self._started_at
 
     def note(self, text: str) -> None:
-        """Add a line from a module that had a say."""
+        """Add a note about a decision."""
         self.record.notes.append(text)
 
-    def placed(self, placed: Home | Away | Refused) -> None:
-        """Take over what a placement weighed and chose."""
+    def record_placement(self, placement: Home | Away | Refused) -> None:
+        """Record the candidates, choice and reason of a placement."""
         record = self.record
-        record.candidates = placed.candidates[:MAX_CANDIDATES]
-        record.reason = placed.reason
-        for note in placed.notes:
+        record.candidates = placement.candidates[:MAX_CANDIDATES]
+        record.reason = placement.reason
+        for note in placement.notes:
             if note not in record.notes:
                 record.notes.append(note)
-        match placed:
+        match placement:
             case Home(target):
                 record.choice = target.name
             case Away(region):
@@ -70,37 +71,37 @@
 
     def begin_try(self, target: str, region: RegionName) -> Try:
         """Add a try at a target, or at a host of another region."""
-        began = Try(target, region, self.elapsed(), TryResult.failed)
-        self.record.tries.append(began)
-        return began
+        new_try = Try(target, region, self.elapsed(), TryResult.failed)
+        self.record.tries.append(new_try)
+        return new_try
 
-    def end_try(self, ended: Try, result: TryResult, detail: str = "") -> None:
-        """Note how a try ended."""
-        ended.result = result
-        ended.ended = self.elapsed()
-        ended.detail = detail
+    def end_try(self, current_try: Try, result: TryResult, detail: str = "") -> None:
+        """Record the result of a try."""
+        current_try.result = result
+        current_try.ended = self.elapsed()
+        current_try.detail = detail
 
     def retried(self, reason: RetryReason) -> None:
-        """Note why another try follows the last one."""
+        """Record the reason for a retry in the last try."""
         if self.record.tries:
             self.record.tries[-1].retry_reason = reason
 
     def answered(self, status: int) -> None:
-        """Note that the caller got its whole answer."""
+        """Record that the caller got the complete response."""
         self._end(Outcome.answered, status)
 
     def refused(self, refusal: Refusal, status: int) -> None:
-        """Note that the request was refused."""
+        """Record that the request was refused."""
         self.record.refusal = refusal
         self._end(Outcome.refused, status)
 
-    def cancelled(self, why: str) -> None:
-        """Note that the caller left."""
-        self.note(why)
+    def cancelled(self, reason: str) -> None:
+        """Record that the caller disconnected."""
+        self.note(reason)
         self._end(Outcome.cancelled, 0)
 
     def _end(self, outcome: Outcome, status: int) -> None:
-        self.kept = False
+        self.saved = False
         self.record.outcome = outcome
         self.record.status = status
         self.record.duration = self.elapsed()
--- a/packages/node/src/bronzepoint_node/entry/_upstream.py
+++ b/packages/node/src/bronzepoint_node/entry/_upstream.py
@@ -1,4 +1,4 @@
-"""One exchange with a target, or with a host of another region."""
+"""HTTP requests to targets and to hosts of other regions."""
 
 import time
 from collections.abc import Callable
@@ -18,25 +18,28 @@
     HttpError,
     NotSent,
 )
-from bronzepoint_node.entry._answer_headers import passed_headers
+from bronzepoint_node.entry._answer_headers import headers_for_caller
 from bronzepoint_node.entry._outcomes import Failed, Outcome
-from bronzepoint_node.entry._relay import Finish, collect, relay
+from bronzepoint_node.entry._relay import BeforeLastByte, collect, relay
 from bronzepoint_node.entry._trace import RequestTrace
 from bronzepoint_schema.generated.decisions import RetryReason, TryResult
 
 MAX_ERROR_BODY = 65536
-LEAST_TIMEOUT = 0.05
+"""Bytes of an error response after which the rest isn't read."""
+MIN_TIMEOUT = 0.05
+"""Shortest timeout in seconds; it applies even if the deadline is closer."""
 
 
 class UpstreamRequest(Struct):
-    """What is sent, and what its answer must echo.
+    """A request to a target or host.
 
     Attributes:
-        echo: Name (lower-case) of the answer's header that repeats the request id.
-        repeatable: False: sent on a connection of its own, and its answer is held
-            until it is whole.
-        check: Called right before the first byte is written; where it raises,
-            nothing is sent.
+        timeout: Seconds to wait for the head of the response.
+        echo: Lower-case name of the response header that repeats the request id.
+        repeatable: False: the request is sent on a new connection, and the response is
+            buffered until it is complete.
+        check: Called right before the first byte is written; if it raises, nothing is
+            sent.
     """
 
     address: str
@@ -50,73 +53,81 @@
     check: Callable[[], None]
 
 
-class Judge(Protocol):
-    """Says of an answer's head whether the answer counts."""
+class AnswerCheck(Protocol):
+    """Classifies a response as an answer for the caller or as a failed try."""
 
     async def check(self, answer: ClientAnswer) -> Failed | None:
-        """Return why the answer doesn't count; None: it does."""
+        """Return the failure that a response means; None: it goes to the caller."""
 
 
 class Upstream:
-    """Sends a request and brings the answer to the caller.
+    """Sends requests and relays the responses to the callers.
 
     Args:
-        client: Connections to targets and hosts.
+        client: HTTP client for targets and hosts.
     """
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
 
-    async def ask(
+    async def send(
         self,
         request: UpstreamRequest,
         exchange: Exchange,
         trace: RequestTrace,
-        judge: Judge,
-        own: dict[str, str],
-        finish: Finish,
+        answer_check: AnswerCheck,
+        added_headers: dict[str, str],
+        before_last_byte: BeforeLastByte,
     ) -> Outcome:
-        """Send a request; pass its answer on, or hold it where not repeatable.
+        """Send a request, and relay its response if the request is repeatable.
+
+        The response to a request that isn't repeatable is buffered and returned.
 
         Args:
-            request: What is sent.
+            request: The request to send.
             exchange: The caller's exchange.
-            trace: Learns whether the request may have run.
-            judge: Says of an answer's head whether the answer counts.
-            own: Headers that this host adds.
-            finish: Awaited with the status, right before the answer's last byte is
-                passed on.
+            trace: Its ``may_have_run`` is updated.
+            answer_check: Classifies the response by its head.
+            added_headers: Headers that the gateway adds to the response.
+            before_last_byte: Awaited with the status, right before the last byte of
+                the response is relayed.
 
         Raises:
-            Disconnected: The caller left.
-            RequestRefused: The last check before the send refused it.
+            Disconnected: The caller closed the connection.
+            RequestRefused: The check right before the send failed.
         """
         before = trace.may_have_run
 
         def before_send() -> None:
             request.check()
-            # Before the first byte, so that it also holds where this task is
-            # cancelled on the way.
+            # Set before the first byte is written, so that it is also correct when
+            # this task is cancelled during the send.
             trace.may_have_run = True
 
-        outcome = await self._ask(
-            request, exchange, trace.request_id, judge, own, before_send, finish
+        outcome = await self._send(
+            request,
+            exchange,
+            trace.request_id,
+            answer_check,
+            added_headers,
+            before_send,
+            before_last_byte,
         )
         if isinstance(outcome, Failed) and outcome.certain:
             trace.may_have_run = before
         return outcome
 
-    async def _ask(
+    async def _send(
         self,
         request: UpstreamRequest,
         exchange: Exchange,
         request_id: str,
-        judge: Judge,
-        own: dict[str, str],
+        answer_check: AnswerCheck,
+        added_headers: dict[str, str],
         before_send: Callable[[], None],
-        finish: Finish,
+        before_last_byte: BeforeLastByte,
     ) -> Outcome:
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         try:
             async with self._client.stream(
                 request.address,
@@ -124,32 +135,35 @@
                 request.path,
                 request.headers,
                 request.body,
-                max(LEAST_TIMEOUT, request.timeout),
+                max(MIN_TIMEOUT, request.timeout),
                 fresh=not request.repeatable,
                 before_send=before_send,
             ) as answer:
                 if answer.headers.get(request.echo) != request_id:
-                    return _crossed(answer, request.echo)
-                failed = await judge.check(answer)
+                    return _wrong_request_id(answer, request.echo)
+                failed = await answer_check.check(answer)
                 if failed is not None:
                     return failed
-                headers = passed_headers(answer.headers)
-                headers.update(own)
+                headers = headers_for_caller(answer.headers)
+                headers.update(added_headers)
                 if request.repeatable:
-                    return await relay(answer, exchange, headers, sent, finish)
-                return await collect(answer, headers, sent, request.address)
+                    return await relay(
+                        answer, exchange, headers, sent_at, before_last_byte
+                    )
+                return await collect(answer, headers, sent_at, request.address)
         except Disconnected:
             raise
         except HttpError as exc:
-            failed = failure(exc)
+            failed = failed_from_error(exc)
             failed.started = exchange.started
             return failed
 
 
-def _crossed(answer: ClientAnswer, echo: str) -> Failed:
-    # A target that mixes up its answers, or a connection with a late one on it:
-    # passed on, a caller would get the answer to another caller's request. The
-    # connection is closed with the answer unread, so nothing more comes from it.
+def _wrong_request_id(answer: ClientAnswer, echo: str) -> Failed:
+    # The target has confused its responses, or a late response was left on the
+    # connection. If it were relayed, a caller would get the response to another
+    # caller's request. The connection is closed with the response unread, so that no
+    # later request can receive the rest of it.
     found = answer.headers.get(echo, "no id")
     return Failed(
         TryResult.failed,
@@ -158,8 +172,8 @@
     )
 
 
-def failure(exc: HttpError) -> Failed:
-    """Say what a failed exchange means for the request."""
+def failed_from_error(exc: HttpError) -> Failed:
+    """Return the outcome of a try that ended with an HTTP error."""
     detail = str(exc)
     match exc:
         case ConnectFailed():
@@ -175,11 +189,11 @@
     return Failed(TryResult.failed, detail, RetryReason.target_error)
 
 
-async def read_error(answer: ClientAnswer) -> Answer:
-    """Read the body of an error answer, as far as it is of use."""
-    parts = []
+async def read_error_answer(answer: ClientAnswer) -> Answer:
+    """Read the body of an error response, up to about MAX_ERROR_BODY bytes."""
+    chunks = []
     size = 0
-    while size < MAX_ERROR_BODY and (piece := await answer.read()):
-        size += len(piece)
-        parts.append(piece)
-    return Answer(answer.status, answer.headers, b"".join(parts))
+    while size < MAX_ERROR_BODY and (chunk := await answer.read()):
+        size += len(chunk)
+        chunks.append(chunk)
+    return Answer(answer.status, answer.headers, b"".join(chunks))
--- a/packages/node/src/bronzepoint_node/entry/_usage.py
+++ b/packages/node/src/bronzepoint_node/entry/_usage.py
@@ -1,4 +1,4 @@
-"""Tokens that an answer says it took."""
+"""Token usage as stated in a response."""
 
 import msgspec
 from msgspec import Struct, field
@@ -13,7 +13,7 @@
 
 
 def completion_tokens(content_type: str, body: bytes) -> int:
-    """Return the generated tokens that a whole answer states; 0 where it doesn't."""
+    """Return the number of generated tokens stated in a response; 0: not stated."""
     if not content_type.startswith("application/json"):
         return 0
     try:
--- a/tests/_entry_site.py
+++ b/tests/_entry_site.py
@@ -1,4 +1,4 @@
-"""Gateways over real HTTP, with fakes for the parts behind them."""
+"""Gateways over real HTTP, with fakes for the other components of the daemon."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -68,20 +68,21 @@
 SAVED = "/v1/services/phrases/saved"
 LOOKUP = "/v1/services/phrases/lookup"
 OPERATOR = {"Authorization": "Bearer operator-token"}
-PATIENCE = 30.0
+MAX_WAIT = 30.0
+"""Seconds after which a test or request fails."""
 
 
 def run(main: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
-        async with curio.timeout_after(PATIENCE):
+        async with curio.timeout_after(MAX_WAIT):
             await main()
 
     curio.run(bounded)
 
 
-async def until(state: Callable[[], object]) -> None:
-    """Wait for an observed state; `run` bounds the wait."""
-    while not state():
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition holds; `run` limits the time."""
+    while not condition():
         await curio.sleep(0.001)
 
 
@@ -113,21 +114,21 @@
     )
 
 
-class StandIn:
-    """A target: counts what it ran, and answers as ``script`` says."""
+class StubTarget:
+    """A target that counts the requests it ran, and answers with ``script``."""
 
     def __init__(self, region: str, script: Callable | None = None) -> None:
         self.region = region
-        self.script = script or whole
+        self.script = script or complete_answer
         self.ran: Counter[str] = Counter()
         self.keys: Counter[str] = Counter()
         self.left = curio.Event()
-        self.asked = 0
+        self.requests = 0
         self.server = HttpServer(self.handle, LIMITS)
 
     async def handle(self, exchange: Exchange) -> None:
         await exchange.body()
-        self.asked += 1
+        self.requests += 1
         headers = exchange.request.headers
         if await self.script(self, exchange) == "not run":
             return
@@ -135,13 +136,13 @@
         self.keys[headers.get("idempotency-key", "")] += 1
 
 
-def echo_of(exchange: Exchange) -> dict[str, str]:
+def request_id_header(exchange: Exchange) -> dict[str, str]:
     return {"X-Request-Id": exchange.request.headers["x-request-id"]}
 
 
-async def whole(target: StandIn, exchange: Exchange) -> None:
+async def complete_answer(target: StubTarget, exchange: Exchange) -> None:
     body = f"{target.region}:{exchange.request.headers['x-request-id']}"
-    await exchange.respond(200, echo_of(exchange), body.encode())
+    await exchange.respond(200, request_id_header(exchange), body.encode())
 
 
 class FakeCatalogue:
@@ -169,7 +170,7 @@
         self.catalogue = catalogue
         self.in_flight: Counter[str] = Counter()
         self.results: list[tuple[str, str]] = []
-        self.heard: list[str] = []
+        self.reported_leaving: list[str] = []
 
     def views(self, entry, prefix_hashes=None) -> list[TargetView]:
         return [
@@ -187,38 +188,38 @@
 
     def note_answer(self, name, headers) -> None:
         if "x-leaving" in headers:
-            self.heard.append(name)
+            self.reported_leaving.append(name)
 
     def statuses(self):
         return []
 
 
 class FakePolicy:
-    """Takes the first untried target here, else the first untried region."""
+    """Chooses the first untried target of this region, then other regions."""
 
     def __init__(self, region: str) -> None:
         self.region = region
-        self.refuse_entry: Refused | None = None
+        self.admission_refusal: Refused | None = None
         self.away: list[str] = []
         self.patience = 0.0
-        self.before_place: Callable[[], None] = lambda: None
-        self.entered = 0
+        self.on_place: Callable[[], None] = lambda: None
+        self.admitted = 0
         self.left: list[tuple[bool, int]] = []
         self.reasons: list[RetryReason] = []
         self.views: list[RequestView] = []
 
     async def enter(self, request: RequestView) -> Ticket | Refused:
         self.views.append(request)
-        if self.refuse_entry is not None:
-            return self.refuse_entry
-        self.entered += 1
-        return Ticket(request, None, deadline=PATIENCE)
+        if self.admission_refusal is not None:
+            return self.admission_refusal
+        self.admitted += 1
+        return Ticket(request, None, deadline=MAX_WAIT)
 
     async def place(self, ticket, targets, regions) -> Placement:
         request = ticket.request
-        placed = self._place(request, targets(), regions())
-        self.before_place()
-        return placed
+        placement = self._place(request, targets(), regions())
+        self.on_place()
+        return placement
 
     def _place(self, request, targets, regions) -> Placement:
         allowed = request.allowed_regions
@@ -234,7 +235,7 @@
                 return Away(name, [], reason, patience=self.patience)
         return Refused(RefusalKind.no_target, "No target.", "Come back.", 2.0)
 
-    async def try_ended(self, ticket, placed, result, first_token) -> None:
+    async def try_ended(self, ticket, placement, result, first_token) -> None:
         return
 
     def may_retry(self, ticket, reason, region=None) -> bool:
@@ -246,7 +247,7 @@
 
 
 class FakeRunOnce:
-    """One register of keys, shared by the gateways of a region."""
+    """Run-once records in memory."""
 
     def __init__(self) -> None:
         self.states: dict[str, tuple[bytes, ClaimResult]] = {}
@@ -294,7 +295,7 @@
 
 
 class Host(Struct):
-    """One gateway and its fakes."""
+    """A gateway and its fakes."""
 
     name: str
     region: str
@@ -336,13 +337,13 @@
 
 
 class Site:
-    """Hosts ``<region>-1`` and targets ``<region>-t1``… of given regions."""
+    """Hosts ``<region>-1`` and targets ``<region>-t1``… of the given regions."""
 
     def __init__(self, *regions: str, targets: int = 1, script=None) -> None:
         self.regions = regions
         self.hosts: dict[str, Host] = {}
         self.targets = {
-            f"{region}-t{number + 1}": StandIn(region, script)
+            f"{region}-t{number + 1}": StubTarget(region, script)
             for region in regions
             for number in range(targets)
         }
@@ -424,7 +425,7 @@
         ]
         return {entry.name: entry for entry in entries}
 
-    async def ask(
+    async def request(
         self,
         host: str,
         method: str = "POST",
@@ -433,32 +434,32 @@
         headers: dict[str, str] | None = None,
         home: str = "bkk",
     ) -> Answer:
-        """Send a request as a caller of a region."""
+        """Send a request as a caller whose home region is ``home``."""
         sent = {**caller(home), **(headers or {})}
         address = self.hosts[host].server.address
-        answer = await self.client.fetch(address, method, path, sent, body, PATIENCE)
+        answer = await self.client.fetch(address, method, path, sent, body, MAX_WAIT)
         self.last_id = answer.headers.get("bronzepoint-request-id", "")
         return answer
 
     async def save(self, host: str, key: str, body: bytes = b"x", home: str = "bkk"):
         """Send a non-idempotent request."""
         headers = {"Idempotency-Key": key}
-        return await self.ask(host, "POST", SAVED, body, headers, home)
+        return await self.request(host, "POST", SAVED, body, headers, home)
 
     def runs(self, request_id: str = "") -> int:
-        """Return how often the targets ran a request, by their own count."""
+        """Return how often the targets ran a request, by default the last one."""
         wanted = request_id or self.last_id
         return sum(target.ran[wanted] for target in self.targets.values())
 
     async def record(self, host: str) -> DecisionRecord:
-        """Return a host's record of the last request; kept after its answer is sent."""
+        """Wait for a host's final record of the last request and return it."""
         records, wanted = self.hosts[host].decisions.records, self.last_id
-        await until(lambda: wanted in records and records[wanted].duration)
+        await wait_until(lambda: wanted in records and records[wanted].duration)
         return records[wanted]
 
 
-class Told(Struct):
-    """A refusal as a caller gets it, and what the targets say."""
+class ReceivedRefusal(Struct):
+    """A refusal that a caller received, and the number of runs at the targets."""
 
     status: int
     refusal: Refusal
@@ -466,12 +467,12 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-def told(site: Site, answer: Answer) -> Told:
-    """Read a refusal; "not run" must be what the targets counted."""
+def read_refusal(site: Site, answer: Answer) -> ReceivedRefusal:
+    """Decode a refusal, and check that a request "not run" has no run at a target."""
     refusal = msgspec.json.decode(answer.body, type=dict[str, Refusal])["error"]
     runs = site.runs(refusal.request_id) if refusal.request_id else 0
     if refusal.ran == "no" and runs:
         raise AssertionError(f"{refusal.kind} says not run, it ran {runs} times")
     assert answer.headers["bronzepoint-refusal"] == refusal.kind
     assert refusal.message and refusal.remedy
-    return Told(answer.status, refusal, runs, answer.headers)
+    return ReceivedRefusal(answer.status, refusal, runs, answer.headers)
--- a/tests/test_entry_forwarding.py
+++ b/tests/test_entry_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that go to other regions: residency, loops, views that differ."""
+"""Forwarding to other regions: residency, loops and different catalogue views."""
 
 import unittest
 
@@ -16,19 +16,19 @@
 from bronzepoint_node.policy import Away
 from bronzepoint_schema.generated.catalogue import Residency, ResidencyRule
 from bronzepoint_schema.generated.decisions import Outcome, TryResult
-from tests._entry_site import CHAT, Site, chat, run, told
-from tests.test_entry_relay import silent
+from tests._entry_site import CHAT, Site, chat, read_refusal, run
+from tests.test_entry_relay import never_answers
 
 KEY = b"k" * 32
 
 
-def context(**changes) -> ForwardContext:
-    base = ForwardContext(
+def forward_context(**changes) -> ForwardContext:
+    result = ForwardContext(
         "r", Caller("c", "saphan", "bkk"), [VisitedHost("bkk-1", "bkk")], 5.0, 1
     )
     for name, value in changes.items():
-        setattr(base, name, value)
-    return base
+        setattr(result, name, value)
+    return result
 
 
 def set_residency(host, entry: str, *regions: str) -> None:
@@ -38,20 +38,25 @@
 
 
 class ContextTest(unittest.TestCase):
-    def test_only_a_holder_of_the_key_can_make_one(self) -> None:
-        made = encode_context(context(), KEY)
-        self.assertEqual(decode_context(made, KEY), context())
-        for text, key in ((made, b"x" * 32), (made[:-8], KEY), ("!", KEY), ("", KEY)):
+    def test_context_is_accepted_only_with_the_cluster_key(self) -> None:
+        encoded = encode_context(forward_context(), KEY)
+        self.assertEqual(decode_context(encoded, KEY), forward_context())
+        for text, key in (
+            (encoded, b"x" * 32),
+            (encoded[:-8], KEY),
+            ("!", KEY),
+            ("", KEY),
+        ):
             with self.assertRaises(RequestRefused):
                 decode_context(text, key)
 
 
 class ForwardTest(unittest.TestCase):
-    def test_an_answer_comes_back_from_another_region(self) -> None:
+    def test_answer_of_another_region_is_relayed(self) -> None:
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
                 site.hosts["bkk-1"].policy.away = ["bkk"]
-                answer = await site.ask("bkk-1", body=chat())
+                answer = await site.request("bkk-1", body=chat())
                 self.assertEqual(answer.body, f"sgp:{site.last_id}".encode())
                 self.assertEqual(answer.headers["bronzepoint-host"], "bkk-1")
                 self.assertEqual(answer.headers["bronzepoint-region"], "sgp")
@@ -64,22 +69,22 @@
 
         run(main)
 
-    def test_a_forwarded_request_is_not_forwarded_back(self) -> None:
-        """Symptom: a request goes to and fro between regions until its deadline.
+    def test_forwarded_request_is_not_forwarded_back(self) -> None:
+        """Guards against a request forwarded back and forth until its deadline.
 
-        Both regions hold the other for better placed, as when their summaries of the
-        load are late. Each forward would be new work for the other.
+        Each region prefers the other one, for example while load reports are late.
+        Each forward would be a new request for the other region.
         """
 
         async def main() -> None:
             async with Site("bkk", "sgp", "cnx") as site:
                 for host in site.hosts.values():
                     host.policy.away = list(site.regions)
-                refusal = told(site, await site.ask("bkk-1", body=chat()))
+                refusal = read_refusal(site, await site.request("bkk-1", body=chat()))
                 self.assertEqual(refusal.refusal.kind, "no_target")
                 self.assertEqual(refusal.refusal.ran, "no")
-                entered = [host.policy.entered for host in site.hosts.values()]
-                self.assertEqual(entered, [1, 1, 1])
+                admitted = [host.policy.admitted for host in site.hosts.values()]
+                self.assertEqual(admitted, [1, 1, 1])
                 away = [one.target for one in (await site.record("bkk-1")).tries]
                 self.assertEqual(away, ["cnx-1", "sgp-1"])
                 for host in ("sgp-1", "cnx-1"):
@@ -92,45 +97,47 @@
         ("region before", [VisitedHost("sgp-9", "sgp"), VisitedHost("bkk-1", "bkk")]),
         ("too far", [VisitedHost(f"{r}-1", r) for r in ("bkk", "cnx", "fra")]),
     )
-    def test_a_loop_is_refused_where_it_closes(self, _, visited) -> None:
-        """Symptom: as above, made by a host whose policy doesn't keep to the rule."""
+    def test_forwarding_loop_is_refused(self, _, visited) -> None:
+        """Guards against forwarding loops caused by a host with a faulty policy."""
 
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
                 key = site.hosts["sgp-1"].gateway._identity.key
-                header = encode_context(context(visited=visited), key)
-                answer = await site.ask(
+                header = encode_context(forward_context(visited=visited), key)
+                answer = await site.request(
                     "sgp-1", body=chat(), headers={"Bronzepoint-Forward": header}
                 )
-                refusal = told(site, answer)
+                refusal = read_refusal(site, answer)
                 self.assertEqual(refusal.status, 508)
                 self.assertEqual(refusal.refusal.kind, "loop_detected")
                 self.assertEqual(site.targets["sgp-t1"].ran.total(), 0)
 
         run(main)
 
-    def test_a_context_does_not_fit_another_request(self) -> None:
+    def test_context_of_another_request_is_refused(self) -> None:
         async def main() -> None:
             async with Site("sgp") as site:
                 key = site.hosts["sgp-1"].gateway._identity.key
-                header = encode_context(context(digest=b"other"), key)
-                answer = await site.ask(
+                header = encode_context(forward_context(digest=b"other"), key)
+                answer = await site.request(
                     "sgp-1", body=chat(), headers={"Bronzepoint-Forward": header}
                 )
-                self.assertEqual(told(site, answer).refusal.kind, "unauthenticated")
+                self.assertEqual(
+                    read_refusal(site, answer).refusal.kind, "unauthenticated"
+                )
 
         run(main)
 
 
 class ResidencyTest(unittest.TestCase):
     @params(("sgp-1", "bkk"), ("bkk-1", "sgp"))
-    def test_a_request_bound_to_its_home_is_served_there(self, host, home) -> None:
+    def test_request_restricted_to_home_is_served_there(self, host, home) -> None:
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
-                for narrowed in (chat("clinic"), chat()):
-                    answer = await site.ask(
+                for body in (chat("clinic"), chat()):
+                    answer = await site.request(
                         host,
-                        body=narrowed,
+                        body=body,
                         headers={"Bronzepoint-Residency": "home"},
                         home=home,
                     )
@@ -138,13 +145,13 @@
 
         run(main)
 
-    def test_no_region_that_both_rules_allow(self) -> None:
+    def test_request_without_an_allowed_region_is_refused(self) -> None:
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
                 set_residency(site.hosts["bkk-1"], "talk", "sgp")
-                refusal = told(
+                refusal = read_refusal(
                     site,
-                    await site.ask(
+                    await site.request(
                         "bkk-1",
                         body=chat(),
                         headers={"Bronzepoint-Residency": "home"},
@@ -155,26 +162,26 @@
 
         run(main)
 
-    def test_residency_is_checked_again_at_the_send(self) -> None:
-        """Symptom: a request is served where its residency forbids it.
+    def test_residency_is_checked_again_before_the_send(self) -> None:
+        """Guards against a request served in a region that its residency forbids.
 
-        It is decided on, waits in the line, and meanwhile this host learns that the
-        entry may not be served here any more. Its target is still the old choice.
+        While the request is queued, this host receives a change by which the entry may
+        no longer be served here. The target was chosen before the change.
         """
 
         async def main() -> None:
             async with Site("bkk") as site:
                 host = site.hosts["bkk-1"]
-                host.policy.before_place = lambda: set_residency(host, "talk", "sgp")
-                refusal = told(site, await site.ask("bkk-1", body=chat()))
+                host.policy.on_place = lambda: set_residency(host, "talk", "sgp")
+                refusal = read_refusal(site, await site.request("bkk-1", body=chat()))
                 self.assertEqual(refusal.refusal.kind, "residency")
                 self.assertEqual(refusal.refusal.ran, "no")
                 self.assertEqual(site.targets["bkk-t1"].ran.total(), 0)
 
         run(main)
 
-    def test_a_target_taken_away_meanwhile_gets_nothing(self) -> None:
-        """Symptom: a leaving target still gets the requests that were in the line."""
+    def test_target_that_leaves_while_queued_gets_no_request(self) -> None:
+        """Guards against a leaving target that still gets the queued requests."""
 
         async def main() -> None:
             async with Site("bkk", targets=2) as site:
@@ -183,8 +190,8 @@
                 def leave() -> None:
                     host.catalogue.entries["talk"].targets[0].leaving = True
 
-                host.policy.before_place = leave
-                answer = await site.ask("bkk-1", body=chat())
+                host.policy.on_place = leave
+                answer = await site.request("bkk-1", body=chat())
                 self.assertEqual(answer.status, 200)
                 self.assertEqual(site.targets["bkk-t1"].ran.total(), 0)
                 self.assertEqual(site.targets["bkk-t2"].ran.total(), 1)
@@ -194,72 +201,72 @@
     @params(
         ("the sender's view is newer", "bkk-1"), ("the receiver's is newer", "sgp-1")
     )
-    def test_views_that_differ_do_not_widen_residency(self, _, newer) -> None:
-        """Symptom: as above, while a change spreads.
+    def test_different_views_do_not_widen_residency(self, _, newer) -> None:
+        """Guards against a forbidden region serving while a change propagates.
 
-        One host knows already that the entry must stay in bkk, the other one doesn't.
-        The request is narrowed by its caller's home or not at all; whichever host has
-        the older view, it must not be served in sgp.
+        Only one of the two hosts has the change by which the entry must stay in bkk.
+        Whichever host has the older view, the request must not be served in sgp.
         """
 
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
                 set_residency(site.hosts[newer], "talk", "bkk")
                 sender = site.hosts["bkk-1"]
-                sender.policy._place = lambda *args: _away("sgp")
-                answer = await site.ask("bkk-1", body=chat())
-                refusal = told(site, answer)
+                sender.policy._place = lambda *args: _remote_placement("sgp")
+                answer = await site.request("bkk-1", body=chat())
+                refusal = read_refusal(site, answer)
                 self.assertEqual(refusal.refusal.kind, "residency")
                 self.assertEqual(site.targets["sgp-t1"].ran.total(), 0)
 
         run(main)
 
-    def test_a_receiver_keeps_to_what_the_sender_allowed(self) -> None:
-        """The caller narrowed it to its home; the receiver's entry allows all regions.
+    def test_receiver_enforces_regions_allowed_by_sender(self) -> None:
+        """Guards against a sender's policy that forwards despite the caller's limit.
 
-        A sender whose policy errs must not be the only one that knows.
+        The caller allows only its home region, while the entry allows all regions. The
+        receiver must enforce the regions that the sender passed along.
         """
 
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
                 digest = Call("talk", "POST", CHAT, {}, chat()).digest()
-                made = encode_context(
-                    context(allowed=["bkk"], digest=digest),
+                encoded = encode_context(
+                    forward_context(allowed=["bkk"], digest=digest),
                     site.hosts["sgp-1"].gateway._identity.key,
                 )
-                answer = await site.ask(
-                    "sgp-1", body=chat(), headers={"Bronzepoint-Forward": made}
+                answer = await site.request(
+                    "sgp-1", body=chat(), headers={"Bronzepoint-Forward": encoded}
                 )
-                self.assertEqual(told(site, answer).refusal.kind, "residency")
+                self.assertEqual(read_refusal(site, answer).refusal.kind, "residency")
                 self.assertEqual(site.targets["sgp-t1"].ran.total(), 0)
 
         run(main)
 
-    def test_a_receiver_without_the_entry_yet_is_not_ready(self) -> None:
+    def test_receiver_that_lacks_the_entry_is_not_ready(self) -> None:
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
                 site.hosts["bkk-1"].policy.away = ["bkk"]
                 site.hosts["bkk-1"].catalogue.revision = 2
                 del site.hosts["sgp-1"].catalogue.entries["talk"]
-                told(site, await site.ask("bkk-1", body=chat()))
+                read_refusal(site, await site.request("bkk-1", body=chat()))
                 refused = (await site.record("sgp-1")).refusal
                 self.assertEqual(refused.kind, "not_ready")
 
         run(main)
 
-    def test_a_silent_region_is_given_up_for_another(self) -> None:
-        """Symptom: in a partition every request sent away fails at its deadline.
+    def test_unresponsive_region_is_replaced_by_another(self) -> None:
+        """Guards against forwarded requests that fail at their deadline in a partition.
 
-        The link is cut in silence: the connection opens, or is a kept one, and nothing
-        comes back. The policy says how long the head of an answer may take.
+        The connection opens or is reused, and the other side never answers. The policy
+        limits the time until the head of the response.
         """
 
         async def main() -> None:
             async with Site("bkk", "sgp", "cnx") as site:
                 policy = site.hosts["bkk-1"].policy
                 policy.away, policy.patience = ["bkk"], 0.05
-                site.targets["cnx-t1"].script = silent
-                answer = await site.ask("bkk-1", body=chat())
+                site.targets["cnx-t1"].script = never_answers
+                answer = await site.request("bkk-1", body=chat())
                 self.assertEqual(answer.body, f"sgp:{site.last_id}".encode())
                 results = [one.result for one in (await site.record("bkk-1")).tries]
                 self.assertEqual(results, [TryResult.timeout, TryResult.answered])
@@ -267,12 +274,12 @@
 
         run(main)
 
-    def test_an_unreachable_region_has_not_run_it(self) -> None:
+    def test_unreachable_region_reports_not_run(self) -> None:
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
                 await site.hosts["sgp-1"].server.close(0.0)
                 site.hosts["bkk-1"].policy.away = ["bkk"]
-                refusal = told(site, await site.ask("bkk-1", body=chat()))
+                refusal = read_refusal(site, await site.request("bkk-1", body=chat()))
                 self.assertEqual(refusal.refusal.kind, "region_unreachable")
                 self.assertEqual(refusal.refusal.ran, "no")
                 record = await site.record("bkk-1")
@@ -282,5 +289,5 @@
         run(main)
 
 
-def _away(region: str):
+def _remote_placement(region: str):
     return Away(region, [], "on purpose")
--- a/tests/test_entry_processes.py
+++ b/tests/test_entry_processes.py
@@ -1,4 +1,4 @@
-"""Whole answers, residency and truthful refusals, with real daemons and stand-ins."""
+"""Complete responses, residency and correct refusals, with real daemons and stubs."""
 
 import http.client
 import threading
@@ -26,8 +26,8 @@
 FAULTLESS = {"hang": False, "crossed": False, "refuse": False, "down": False}
 
 
-class EntryCase(unittest.TestCase):
-    """One deployment for all tests of a class; each leaves it as it was."""
+class DeploymentTestCase(unittest.TestCase):
+    """A deployment that all tests of a class share; each test restores its state."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -36,14 +36,14 @@
         cls.deployment.start()
 
     def faults(self, targets, **faults) -> None:
-        """Bring faults onto targets until the end of the test."""
+        """Inject faults into targets until the end of the test."""
         for target in targets:
             self.deployment.set_faults(target, **faults)
-            calm = {"cut_after": -1, "slow": 1.0, **FAULTLESS}
-            self.addCleanup(self.deployment.set_faults, target, **calm)
+            no_faults = {"cut_after": -1, "slow": 1.0, **FAULTLESS}
+            self.addCleanup(self.deployment.set_faults, target, **no_faults)
 
-    def assert_true(self, reply: Reply) -> dict:
-        """A refusal that says "not run" is what the targets counted."""
+    def assert_refusal(self, reply: Reply) -> dict:
+        """Check that a request refused as "not run" has no run at a target."""
         refusal = reply.refusal
         if refusal["ran"] == "no":
             self.assertEqual(self.deployment.runs(reply.request_id), {}, refusal)
@@ -54,7 +54,7 @@
         return sum(counts(target).cancelled for target in ENGINES)
 
     def put(self, name: str, **changes) -> int:
-        """Change an entry; returns its revision."""
+        """Change an entry and return the new catalogue revision."""
         operator = self.deployment.operator()
         reply = operator.client.get(f"/v1/admin/catalogue/model/{name}")
         entry = msgspec.json.decode(reply.body, type=ItemAnswer).item
@@ -62,22 +62,23 @@
         return operator.put(changed)
 
 
-class AnswerTest(EntryCase):
+class AnswerTest(DeploymentTestCase):
     def test_each_caller_gets_the_answer_to_its_own_request(self) -> None:
-        """Symptom: a traveller reads the answer to somebody else's question.
+        """Guards against a caller that gets the response to another's request.
 
-        Many callers ask at once through every host, over kept connections to the
-        engines, while one engine answers with ids of other requests. Nothing that it
-        answers can be told to be one's own, so nothing of it may be passed on.
+        Many callers send requests concurrently through all hosts, which reuse their
+        connections to the engines, while one engine answers with the ids of other
+        requests. None of its responses can be attributed to a caller, so none may be
+        relayed.
         """
         self.faults(ENGINES[:1], crossed=True)
         tried = set()
 
-        def ask(number: int) -> None:
+        def send(number: int) -> None:
             host, nonce = HOSTS[number % len(HOSTS)], new_nonce()
             reply = self.deployment.client(host).chat("phrasebook", nonce, 3)
             if reply.status != 200:
-                self.assert_true(reply)
+                self.assert_refusal(reply)
                 return
             self.assertIn(nonce, reply.body.decode())
             for record in self.deployment.operator().why(reply.request_id)["records"]:
@@ -86,11 +87,11 @@
                 self.assertNotEqual(results.get(ENGINES[0]), "answered")
 
         with ThreadPoolExecutor(12) as pool:
-            list(pool.map(ask, range(90)))
+            list(pool.map(send, range(90)))
         self.assertIn(ENGINES[0], tried)
 
-    def test_a_stream_cut_at_the_engine_is_cut_at_the_caller(self) -> None:
-        """Symptom: half a translation is read as if it were all."""
+    def test_stream_truncated_by_engine_is_truncated_at_caller(self) -> None:
+        """Guards against a truncated stream that looks complete to the caller."""
         self.faults(ENGINES, cut_after=3)
         with self.deployment.client("bkk-1").chat_stream("clinic", "a b", 20) as answer:
             with self.assertRaises(CUT):
@@ -99,8 +100,8 @@
         self.assertEqual(refusal["refusal"]["kind"], "answer_cut")
         self.assertEqual(refusal["refusal"]["ran"], "unknown")
 
-    def test_a_forwarded_stream_is_cut_with_the_other_host(self) -> None:
-        """The same, between two hosts: the one that serves it is killed."""
+    def test_forwarded_stream_is_truncated_if_its_host_dies(self) -> None:
+        """Guards against a forwarded stream that looks complete after its host died."""
         self.faults(("sgp-engine-1", "sgp-engine-2"), slow=20.0)
         client = self.deployment.client("bkk-1", region="sgp")
         with client.chat_stream("clinic", new_nonce(), 50) as answer:
@@ -112,11 +113,11 @@
             with self.assertRaises(CUT):
                 list(events)
 
-    def test_a_caller_that_leaves_stops_the_engine(self) -> None:
-        """Symptom: engines work on for travellers who have left the wifi.
+    def test_caller_disconnect_cancels_the_engine(self) -> None:
+        """Guards against engines that keep running requests of disconnected callers.
 
-        The answer isn't streamed, so nothing is written to the caller, and no write
-        can fail, until the engine has done all the work.
+        The response isn't streamed, so nothing is written to the caller, and no write
+        can fail, until the engine has finished.
         """
         self.faults(ENGINES, slow=100.0)
         before, nonce = self.cancelled(), new_nonce()
@@ -131,10 +132,10 @@
         caller.request("POST", "/v1/chat/completions", body, headers)
         wait_until(lambda: self.deployment.nonce_runs(nonce), "an engine has it")
         caller.close()
-        wait_until(lambda: self.cancelled() > before, "the engine was told to stop")
+        wait_until(lambda: self.cancelled() > before, "the engine cancelled it")
 
-    def test_a_slow_reader_gets_its_whole_answer(self) -> None:
-        """Symptom: a reader that pauses for a moment loses a part of its answer."""
+    def test_slow_reader_gets_the_complete_answer(self) -> None:
+        """Guards against a caller losing events because it pauses reading."""
         client = self.deployment.client("bkk-1")
         with client.chat_stream("clinic", new_nonce(), 300) as answer:
             others = [client.chat("clinic", new_nonce(), 2) for _ in range(20)]
@@ -144,16 +145,16 @@
         self.assertEqual(len(events), 301)
 
 
-class RefusalTest(EntryCase):
-    def test_not_run_is_what_the_targets_counted(self) -> None:
-        """Symptom: "not run" of a request that ran; the caller sends it again."""
-        asked = ("clinic", "a b", 2, {"Bronzepoint-Deadline": "1"})
+class RefusalTest(DeploymentTestCase):
+    def test_not_run_agrees_with_runs_at_targets(self) -> None:
+        """Guards against "not run" for a request that ran and is then sent again."""
+        arguments = ("clinic", "a b", 2, {"Bronzepoint-Deadline": "1"})
         seen = {}
         for fault in ("refuse", "crossed", "hang", "down"):
             with self.subTest(fault):
                 self.faults(ENGINES, **{fault: True})
-                reply = self.deployment.client("bkk-1").chat(*asked)
-                refusal = self.assert_true(reply)
+                reply = self.deployment.client("bkk-1").chat(*arguments)
+                refusal = self.assert_refusal(reply)
                 seen[fault] = refusal["ran"]
                 for target in ENGINES:
                     self.deployment.set_faults(target, **FAULTLESS)
@@ -161,11 +162,11 @@
         self.assertEqual(seen["crossed"], "unknown")
         self.assertEqual(seen["hang"], "unknown")
 
-    def test_an_order_whose_answer_is_lost_runs_once(self) -> None:
-        """Symptom: a phrase is saved twice.
+    def test_call_whose_answer_is_lost_runs_once(self) -> None:
+        """Guards against a non-idempotent call that runs twice.
 
-        The service has run the call and its answer is cut. The caller resends, here
-        and through another region.
+        The service has run the call and its response is truncated. The caller resends
+        the call to the same host and to a host of another region.
         """
         self.faults(("bkk-phrases",), cut_after=0)
         key, nonce = new_key(), new_nonce()
@@ -176,8 +177,9 @@
             return client.call_service("phrases", "POST", "/saved", body, key)
 
         def ran_once() -> bool:
-            # Refused before the send while the host is busy, it may be sent again.
-            refusal = self.assert_true(save("bkk-1"))
+            # While the host is busy the call may be refused before the send, and can
+            # then be sent again.
+            refusal = self.assert_refusal(save("bkk-1"))
             runs = self.deployment.nonce_runs(nonce)
             self.assertEqual(refusal["ran"] == "no" and bool(runs), False, refusal)
             return bool(runs)
@@ -185,28 +187,28 @@
         wait_until(ran_once, "the service has run it")
         for host in ("bkk-1", "sgp-1"):
             wait_until(
-                lambda h=host: self.assert_true(save(h))["kind"] == "run_unknown",
+                lambda h=host: self.assert_refusal(save(h))["kind"] == "run_unknown",
                 f"{host} knows that the outcome is unknown",
             )
         self.assertEqual(self.deployment.nonce_runs(nonce), {"bkk-phrases": 1})
 
 
-class ResidencyTest(EntryCase):
+class ResidencyTest(DeploymentTestCase):
     def test_residency_holds_while_it_changes(self) -> None:
-        """Symptom: a request is served in a region that its entry forbids.
+        """Guards against a request served in a region that its entry forbids.
 
-        An entry is bound to its callers' home and freed again, over and over, while
-        callers of bkk ask everywhere, so the hosts' views differ all the time. Each
-        answer's region must be allowed by a revision between the one that its host
-        decided on and the newest.
+        An entry's residency alternates between the callers' home region and any region
+        while callers of bkk send to all hosts, so the views of the hosts differ
+        continually. The region of each response must be allowed by a revision between
+        the one that its host used and the newest one.
         """
         everywhere = {"bkk", "sgp", "cnx"}
-        rules = [everywhere]  # in the order in which they were sent
-        revisions = {0: 0}  # revision to place in the order
+        rules = [everywhere]  # allowed regions, in the order of the changes
+        revisions = {0: 0}  # revision to index in rules
         done = threading.Event()
         served: list[tuple[str, str, int]] = []
 
-        def ask(host: str) -> None:
+        def send(host: str) -> None:
             while not done.is_set():
                 client = self.deployment.client(host, region="bkk")
                 reply = client.chat("phrasebook", "a b", 1)
@@ -214,10 +216,10 @@
                     region = reply.headers["bronzepoint-region"]
                     served.append((reply.request_id, region, len(rules)))
                 else:
-                    self.assert_true(reply)
+                    self.assert_refusal(reply)
 
         with ThreadPoolExecutor(len(HOSTS)) as pool:
-            asking = [pool.submit(ask, host) for host in HOSTS]
+            sending = [pool.submit(send, host) for host in HOSTS]
             try:
                 for rule in (ResidencyRule.home, ResidencyRule.any) * 3:
                     rules.append({"bkk"} if rule is ResidencyRule.home else everywhere)
@@ -227,8 +229,8 @@
                     self.wait_served(served, len(served) + 10)
             finally:
                 done.set()
-            for asked in asking:
-                asked.result()
+            for task in sending:
+                task.result()
         for request_id, region, sent in served:
             why = self.deployment.operator().why(request_id)
             began = min(record["revision"] for record in why["records"])
@@ -239,9 +241,9 @@
     def wait_served(self, served: list, count: int) -> None:
         wait_until(lambda: len(served) >= count, "requests were served meanwhile")
 
-    def test_a_home_bound_entry_is_refused_rather_than_sent_away(self) -> None:
+    def test_home_only_entry_is_refused_instead_of_forwarded(self) -> None:
         self.faults(ENGINES, refuse=True)
         reply = self.deployment.client("bkk-1").chat("clinic", new_nonce(), 1)
-        self.assertEqual(self.assert_true(reply)["ran"], "no")
+        self.assertEqual(self.assert_refusal(reply)["ran"], "no")
         record = self.deployment.operator().why(reply.request_id)["records"][0]
         self.assertEqual({one["region"] for one in record["tries"]}, {"bkk"})
