--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -1,4 +1,4 @@
-"""Whole answers to their own callers: late, crossed, cut, abandoned, slow, stale."""
+"""Relaying of responses: complete, to the right caller, and cancelled on disconnect."""
 
 import unittest
 
@@ -10,96 +10,96 @@
 from tests._entry_site import (
     CHAT,
     LOOKUP,
-    PATIENCE,
+    MAX_WAIT,
     Site,
-    StandIn,
+    StubTarget,
     caller,
     chat,
-    echo_of,
+    complete_answer,
+    read_refusal,
+    request_id_header,
     run,
-    told,
-    until,
-    whole,
+    wait_until,
 )
 
 EVENTS = [b"data: 1\n\n", b"data: 2\n", b"\n", b"data: [DONE]\n\n"]
 STREAM = {"Content-Type": "text/event-stream"}
 
 
-async def stream(target: StandIn, exchange: Exchange) -> None:
-    await exchange.start_stream(200, {**STREAM, **echo_of(exchange)})
+async def stream(target: StubTarget, exchange: Exchange) -> None:
+    await exchange.start_stream(200, {**STREAM, **request_id_header(exchange)})
     for event in EVENTS:
         await exchange.send(event)
     await exchange.end()
 
 
-async def cut_stream(target: StandIn, exchange: Exchange) -> None:
-    await exchange.start_stream(200, {**STREAM, **echo_of(exchange)})
+async def truncated_stream(target: StubTarget, exchange: Exchange) -> None:
+    await exchange.start_stream(200, {**STREAM, **request_id_header(exchange)})
     await exchange.send(EVENTS[0])
     await exchange.abort()
 
 
-async def cut_before_first(target: StandIn, exchange: Exchange) -> None:
-    await exchange.start_stream(200, {**STREAM, **echo_of(exchange)})
+async def truncated_before_first_event(target: StubTarget, exchange: Exchange) -> None:
+    await exchange.start_stream(200, {**STREAM, **request_id_header(exchange)})
     await exchange.abort()
 
 
-async def cut_whole(target: StandIn, exchange: Exchange) -> None:
-    await exchange.start_stream(200, echo_of(exchange))
+async def truncated_answer(target: StubTarget, exchange: Exchange) -> None:
+    await exchange.start_stream(200, request_id_header(exchange))
     await exchange.send(b"part")
     await exchange.abort()
 
 
-async def crossed(target: StandIn, exchange: Exchange) -> None:
+async def wrong_request_id(target: StubTarget, exchange: Exchange) -> None:
     await exchange.respond(200, {"X-Request-Id": "another"}, b"another's answer")
 
 
-async def unnamed(target: StandIn, exchange: Exchange) -> None:
+async def no_request_id(target: StubTarget, exchange: Exchange) -> None:
     await exchange.respond(200, {}, b"somebody's answer")
 
 
-async def failing(target: StandIn, exchange: Exchange) -> None:
-    await exchange.respond(500, echo_of(exchange), b"broken")
+async def failing(target: StubTarget, exchange: Exchange) -> None:
+    await exchange.respond(500, request_id_header(exchange), b"broken")
 
 
-async def overloaded(target: StandIn, exchange: Exchange) -> str:
-    headers = {"Retry-After": "7", "X-Leaving": "1", **echo_of(exchange)}
+async def overloaded(target: StubTarget, exchange: Exchange) -> str:
+    headers = {"Retry-After": "7", "X-Leaving": "1", **request_id_header(exchange)}
     await exchange.respond(503, headers, b"full")
     return "not run"
 
 
-async def endless(target: StandIn, exchange: Exchange) -> None:
-    """Stream until the other side leaves."""
-    await exchange.start_stream(200, {**STREAM, **echo_of(exchange)})
+async def stalled_stream(target: StubTarget, exchange: Exchange) -> None:
+    """Send one event, then nothing until the other side disconnects."""
+    await exchange.start_stream(200, {**STREAM, **request_id_header(exchange)})
     await exchange.send(EVENTS[0])
     await exchange.wait_disconnect()
     await target.left.set()
     await exchange.abort()
 
 
-async def silent(target: StandIn, exchange: Exchange) -> None:
-    """Answer nothing until the other side leaves."""
+async def never_answers(target: StubTarget, exchange: Exchange) -> None:
+    """Send nothing until the other side disconnects."""
     await exchange.wait_disconnect()
     await target.left.set()
     await exchange.abort()
 
 
-def first_then(first, then=whole):
-    """Play ``first`` at the first target that is asked, ``then`` at the others."""
-    asked = []
+def first_target_then(first, then=complete_answer):
+    """Run ``first`` at the first target that gets a request, ``then`` at the others."""
+    called = []
 
-    async def script(target: StandIn, exchange: Exchange) -> object:
-        asked.append(target)
-        return await (first if asked[0] is target else then)(target, exchange)
+    async def script(target: StubTarget, exchange: Exchange) -> object:
+        called.append(target)
+        return await (first if called[0] is target else then)(target, exchange)
 
     return script
 
 
 class RelayTest(unittest.TestCase):
-    def test_a_stream_is_passed_on_whole_and_counted(self) -> None:
+    def test_stream_is_relayed_completely_and_counted(self) -> None:
         async def main() -> None:
             async with Site("bkk", script=stream) as site:
-                answer = await site.ask("bkk-1", body=chat(stream=True))
+                answer = await site.request("bkk-1", body=chat(stream=True))
                 self.assertEqual(answer.body, b"".join(EVENTS))
                 self.assertEqual(answer.headers["content-type"], "text/event-stream")
                 self.assertEqual(site.hosts["bkk-1"].policy.left, [(True, 3)])
@@ -108,19 +108,19 @@
 
         run(main)
 
-    def test_a_cut_stream_does_not_end_as_if_whole(self) -> None:
-        """Symptom: a traveller reads half a translation as if it were all.
+    def test_truncated_stream_does_not_end_cleanly(self) -> None:
+        """Guards against a truncated stream that looks complete to the caller.
 
-        The target dies in the middle of a stream. No other try may follow, since a
-        part has gone out, and the caller's connection must not end in good order.
+        The target fails in the middle of a stream. There may be no retry, since a part
+        was already sent, and the caller's connection must not be closed cleanly.
         """
 
         async def main() -> None:
-            async with Site("bkk", targets=2, script=cut_stream) as site:
+            async with Site("bkk", targets=2, script=truncated_stream) as site:
                 with self.assertRaises(AnswerCut):
-                    await site.ask("bkk-1", body=chat(stream=True))
+                    await site.request("bkk-1", body=chat(stream=True))
                 decisions = site.hosts["bkk-1"].decisions
-                await until(lambda: decisions.records)
+                await wait_until(lambda: decisions.records)
                 (record,) = decisions.records.values()
                 self.assertEqual(record.outcome, Outcome.refused)
                 self.assertEqual(record.refusal.ran, "unknown")
@@ -130,21 +130,31 @@
         run(main)
 
     @params(
-        ("cut before the first event", cut_before_first, "target_error", TryResult.cut),
-        ("cut in a whole answer", cut_whole, "target_error", TryResult.cut),
-        ("crossed", crossed, "target_error", TryResult.failed),
-        ("without an id", unnamed, "target_error", TryResult.failed),
+        (
+            "truncated before the first event",
+            truncated_before_first_event,
+            "target_error",
+            TryResult.cut,
+        ),
+        (
+            "truncated in a complete answer",
+            truncated_answer,
+            "target_error",
+            TryResult.cut,
+        ),
+        ("wrong request id", wrong_request_id, "target_error", TryResult.failed),
+        ("without an id", no_request_id, "target_error", TryResult.failed),
         ("error", failing, "target_error", TryResult.failed),
         ("full", overloaded, "target_leaving", TryResult.refused_by_target),
     )
-    def test_a_failed_try_is_followed_by_another_target(
+    def test_failed_try_is_retried_at_another_target(
         self, _, first, reason, result
     ) -> None:
-        """Symptom: a caller gets another's answer, a part, or an avoidable error."""
+        """Guards against wrong or truncated responses, and avoidable errors."""
 
         async def main() -> None:
-            async with Site("bkk", targets=2, script=first_then(first)) as site:
-                answer = await site.ask("bkk-1", body=chat())
+            async with Site("bkk", targets=2, script=first_target_then(first)) as site:
+                answer = await site.request("bkk-1", body=chat())
                 self.assertEqual(answer.body, f"bkk:{site.last_id}".encode())
                 record = await site.record("bkk-1")
                 self.assertEqual(
@@ -156,27 +166,27 @@
         run(main)
 
     @params(
-        ("crossed", crossed, 502, "target_failed", "unknown"),
+        ("wrong request id", wrong_request_id, 502, "target_failed", "unknown"),
         ("error", failing, 502, "target_failed", "unknown"),
-        ("cut", cut_whole, 502, "answer_cut", "unknown"),
+        ("truncated", truncated_answer, 502, "answer_cut", "unknown"),
         ("full", overloaded, 503, "overloaded", "no"),
     )
-    def test_when_no_target_is_left_the_refusal_is_true(
+    def test_refusal_after_the_last_target_reports_if_it_ran(
         self, _, script, status, kind, ran
     ) -> None:
         async def main() -> None:
             async with Site("bkk", script=script) as site:
-                refusal = told(site, await site.ask("bkk-1", body=chat()))
+                refusal = read_refusal(site, await site.request("bkk-1", body=chat()))
                 self.assertEqual((refusal.status, refusal.refusal.kind), (status, kind))
                 self.assertEqual(refusal.refusal.ran, ran)
 
         run(main)
 
-    def test_a_target_that_can_not_be_reached_has_not_run_it(self) -> None:
+    def test_unreachable_target_reports_not_run(self) -> None:
         async def main() -> None:
             async with Site("bkk") as site:
                 await site.targets["bkk-t1"].server.close(0.0)
-                refusal = told(site, await site.ask("bkk-1", body=chat()))
+                refusal = read_refusal(site, await site.request("bkk-1", body=chat()))
                 self.assertEqual(refusal.refusal.kind, "target_failed")
                 self.assertEqual(refusal.refusal.ran, "no")
                 self.assertEqual(
@@ -185,99 +195,100 @@
 
         run(main)
 
-    def test_a_leaving_target_is_heard_and_its_refusal_passed_on(self) -> None:
+    def test_leaving_target_is_noted_and_its_refusal_relayed(self) -> None:
         async def main() -> None:
             async with Site("bkk", script=overloaded) as site:
                 host = site.hosts["bkk-1"]
                 host.policy.may_retry = lambda *args: False
-                refusal = told(site, await site.ask("bkk-1", body=chat()))
+                refusal = read_refusal(site, await site.request("bkk-1", body=chat()))
                 self.assertEqual(refusal.refusal.kind, "overloaded")
                 self.assertEqual(refusal.refusal.ran, "no")
                 self.assertEqual(refusal.headers["retry-after"], "7")
-                self.assertEqual(host.targets.heard, ["bkk-t1"])
+                self.assertEqual(host.targets.reported_leaving, ["bkk-t1"])
 
         run(main)
 
-    def test_a_service_error_reaches_the_caller_when_nobody_else_answers(self) -> None:
+    def test_service_error_is_relayed_if_no_retry_is_allowed(self) -> None:
         async def main() -> None:
             async with Site("bkk", script=failing) as site:
                 host = site.hosts["bkk-1"]
                 host.policy.may_retry = lambda *args: False
-                answer = await site.ask("bkk-1", "GET", LOOKUP)
+                answer = await site.request("bkk-1", "GET", LOOKUP)
                 self.assertEqual((answer.status, answer.body), (500, b"broken"))
                 self.assertEqual(host.targets.results, [("bkk-t1", "failed")])
 
         run(main)
 
-    def test_a_late_answer_does_not_reach_the_next_caller(self) -> None:
-        """Symptom: a caller gets the answer to another caller's request.
+    def test_late_answer_does_not_reach_the_next_caller(self) -> None:
+        """Guards against a caller that gets the response to another's request.
 
         The target answers the first request twice on one connection. The second
-        answer comes late, when the gateway has put the connection aside, and would be
-        read as the answer to the next request there.
+        response arrives when the connection is back in the pool, and would be read as
+        the response to the next request.
         """
         extra = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 
-        async def twice(target: StandIn, exchange: Exchange) -> None:
-            await whole(target, exchange)
-            await exchange._wire.send(extra, PATIENCE)
+        async def twice(target: StubTarget, exchange: Exchange) -> None:
+            await complete_answer(target, exchange)
+            await exchange._wire.send(extra, MAX_WAIT)
 
         async def main() -> None:
             async with Site("bkk", script=twice) as site:
                 for _ in range(3):
-                    answer = await site.ask("bkk-1", body=chat())
+                    answer = await site.request("bkk-1", body=chat())
                     self.assertEqual(answer.body, f"bkk:{site.last_id}".encode())
 
         run(main)
 
-    def test_a_connection_that_the_target_closed_is_not_an_error(self) -> None:
-        """Symptom: the first request after a target's restart fails."""
+    def test_connection_closed_by_target_is_replaced(self) -> None:
+        """Guards against failures on stale connections after a target's restart."""
 
         async def main() -> None:
             async with Site("bkk") as site:
                 target = site.targets["bkk-t1"]
-                await site.ask("bkk-1", body=chat())
+                await site.request("bkk-1", body=chat())
                 address = target.server.address
                 await target.server.close(0.0)
                 target.server = type(target.server)(
                     target.handle, target.server._limits
                 )
                 await target.server.start(address)
-                answer = await site.ask("bkk-1", body=chat())
+                answer = await site.request("bkk-1", body=chat())
                 self.assertEqual(answer.body, f"bkk:{site.last_id}".encode())
 
         run(main)
 
-    @params(("in a stream", endless), ("before the answer", silent))
-    def test_a_caller_that_leaves_stops_the_target(self, _, script) -> None:
-        """Symptom: targets work on for callers who are gone, and others wait.
+    @params(("in a stream", stalled_stream), ("before the answer", never_answers))
+    def test_caller_disconnect_cancels_the_target(self, _, script) -> None:
+        """Guards against targets that keep running requests of disconnected callers.
 
-        The caller closes its connection while the target has not answered, or has
-        sent some events and then nothing: no write of the gateway can fail.
+        The caller disconnects before the response, or after some events, while the
+        target sends nothing. The gateway then writes nothing to the caller, so no
+        write can fail.
         """
 
         async def main() -> None:
             async with Site("bkk", script=script) as site:
                 host, target = site.hosts["bkk-1"], site.targets["bkk-t1"]
 
-                async def ask() -> None:
+                async def read_first_event() -> None:
                     async with site.client.stream(
                         host.server.address,
                         "POST",
                         CHAT,
                         caller("bkk"),
                         chat(stream=True),
-                        PATIENCE,
+                        MAX_WAIT,
                     ) as answer:
                         await answer.read()
 
-                asking = await curio.spawn(ask)
-                await until(lambda: target.asked)
-                if script is silent:
-                    await asking.cancel()
-                await asking.wait()
+                reading = await curio.spawn(read_first_event)
+                await wait_until(lambda: target.requests)
+                if script is never_answers:
+                    await reading.cancel()
+                await reading.wait()
                 await target.left.wait()
-                await until(lambda: host.decisions.records)
+                await wait_until(lambda: host.decisions.records)
                 (record,) = host.decisions.records.values()
                 self.assertEqual(record.outcome, Outcome.cancelled)
                 self.assertEqual(record.tries[0].result, TryResult.cancelled)
@@ -286,66 +297,69 @@
 
         run(main)
 
-    def test_the_reason_can_be_asked_for_as_soon_as_the_answer_is_there(self) -> None:
-        """Symptom: "no such request" to a caller who asks why at once."""
+    def test_record_is_saved_before_the_answer_ends(self) -> None:
+        """Guards against a record that is missing right after the response."""
 
         async def main() -> None:
-            for script in (whole, stream):
+            for script in (complete_answer, stream):
                 async with Site("bkk", script=script) as site:
                     host = site.hosts["bkk-1"]
-                    wire_kept = []
-                    host.decisions.record = _kept_before_end(host, wire_kept)
-                    await site.ask("bkk-1", body=chat())
-                    self.assertEqual(wire_kept[0], (Outcome.answered, False))
+                    recorded = []
+                    host.decisions.record = _record_noting_end(host, recorded)
+                    await site.request("bkk-1", body=chat())
+                    self.assertEqual(recorded[0], (Outcome.answered, False))
 
         run(main)
 
-    def test_tokens_of_a_whole_answer_are_counted(self) -> None:
-        async def with_usage(target: StandIn, exchange: Exchange) -> None:
-            headers = {"Content-Type": "application/json", **echo_of(exchange)}
+    def test_tokens_of_a_complete_answer_are_counted(self) -> None:
+        async def with_usage(target: StubTarget, exchange: Exchange) -> None:
+            headers = {
+                "Content-Type": "application/json",
+                **request_id_header(exchange),
+            }
             body = b'{"choices": [], "usage": {"completion_tokens": 7}}'
             await exchange.respond(200, headers, body)
 
         async def main() -> None:
             async with Site("bkk", script=with_usage) as site:
-                await site.ask("bkk-1", body=chat())
+                await site.request("bkk-1", body=chat())
                 self.assertEqual(site.hosts["bkk-1"].policy.left, [(True, 7)])
 
         run(main)
 
-    def test_a_deadline_that_has_passed_is_refused_before_the_send(self) -> None:
+    def test_request_past_its_deadline_is_refused_before_the_send(self) -> None:
         async def main() -> None:
             async with Site("bkk") as site:
                 headers = {"Bronzepoint-Deadline": "0.0000001"}
-                answer = await site.ask("bkk-1", body=chat(), headers=headers)
-                refusal = told(site, answer)
+                answer = await site.request("bkk-1", body=chat(), headers=headers)
+                refusal = read_refusal(site, answer)
                 self.assertEqual(refusal.refusal.kind, "deadline_unreachable")
                 self.assertEqual(refusal.refusal.ran, "no")
 
         run(main)
 
-    def test_a_draining_host_serves_and_closes_its_connections(self) -> None:
+    def test_draining_host_serves_and_closes_its_connections(self) -> None:
         async def main() -> None:
             async with Site("bkk") as site:
                 site.hosts["bkk-1"].gateway.drain()
-                answer = await site.ask("bkk-1", body=chat())
+                answer = await site.request("bkk-1", body=chat())
                 self.assertEqual(answer.status, 200)
                 self.assertEqual(answer.headers["connection"], "close")
 
         run(main)
 
 
-def _kept_before_end(host, seen: list):
-    """Note, when a record is kept, its outcome and whether the answer has ended."""
+def _record_noting_end(host, seen: list):
+    """Return a `record` function that notes its outcome and if the response ended."""
     exchanges = []
     handle = host.gateway.handle
 
-    async def noting(exchange: Exchange) -> None:
+    async def noting_exchange(exchange: Exchange) -> None:
         exchanges.append(exchange)
         await handle(exchange)
 
-    async def record(kept) -> None:
-        seen.append((kept.outcome, exchanges[-1].ended))
+    async def record(saved_record) -> None:
+        seen.append((saved_record.outcome, exchanges[-1].ended))
 
-    host.server._handler = noting
+    host.server._handler = noting_exchange
     return record
