--- a/packages/node/src/bronzepoint_node/decisions/__init__.py
+++ b/packages/node/src/bronzepoint_node/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Records of this host's decisions, their copies, and the look-up from any host."""
+"""Decision records: storage on this host, backup copies and lookup from any host."""
 
 from bronzepoint_node.decisions._backups import backup_order
 from bronzepoint_node.decisions._decisions import Decisions
--- a/packages/node/src/bronzepoint_node/decisions/_backups.py
+++ b/packages/node/src/bronzepoint_node/decisions/_backups.py
@@ -1,4 +1,4 @@
-"""Which hosts of a region hold the copies of another host's records."""
+"""Selection of the hosts that store copies of another host's records."""
 
 from collections.abc import Iterable, Sequence
 from typing import Protocol
@@ -12,7 +12,7 @@
 
 
 class HostView(Protocol):
-    """What is read of a host; membership's HostInfo fits."""
+    """The fields of a host that are used here; membership's HostInfo has them."""
 
     name: HostName
     region: RegionName
@@ -21,51 +21,60 @@
 
 
 class HostsView(Protocol):
-    """What is read of the membership."""
+    """The methods of the membership that are used here."""
 
     def hosts(self, region: RegionName | None = None) -> Sequence[HostView]:
-        """Return the known hosts, of one region or of all."""
+        """Return the known hosts of one region; None: of all regions."""
         ...
 
     def host(self, name: HostName) -> HostView | None:
-        """Return one host, None where it is not known."""
+        """Return a host by name; None: it is not known."""
         ...
 
 
 def backup_order(
     hosts: Iterable[HostView], recorder: HostName, slot: int
 ) -> list[HostView]:
-    """Return the hosts that may back up a recorder's records of a slot, best first.
-
-    The order is a rendezvous hash over recorder and slot, not over single requests:
-    all records of a slot go to one host in one message, and each slot to another host,
-    so the load is even over minutes. The first host of each data center comes before
-    the others, for then both the recorder's choice (a backup outside its own data
-    center) and a searcher that has never heard of the recorder find it within the
-    first few.
+    """Return the hosts that may back up a recorder's records of a time slot.
+
+    The hosts are ordered by a rendezvous hash over recorder and slot rather than over
+    single requests. All records of a slot go to one host in one message, and each slot
+    goes to a different host, so the load is even over minutes. The first host of each
+    data center comes before the remaining hosts. The recorder chooses a backup outside
+    its own data center, and so a host that looks up a record finds the backup among
+    the first few hosts even if it doesn't know the recorder's data center.
+
+    Args:
+        hosts: Known hosts of the recorder's region.
+        recorder: The host that made the records.
+        slot: The time slot of the records; see `RequestIdParts`.
     """
     others = {host.name: host for host in hosts if host.name != recorder}
     names = rendezvous_order(f"{recorder}/{slot}", others)
     ranked = [others[name] for name in names]
-    firsts: dict[DataCenterName, HostView] = {}
+    first_by_data_center: dict[DataCenterName, HostView] = {}
     for host in ranked:
-        firsts.setdefault(host.data_center, host)
-    leaders = list(firsts.values())
-    return leaders + [host for host in ranked if host not in leaders]
+        first_by_data_center.setdefault(host.data_center, host)
+    first_hosts = list(first_by_data_center.values())
+    return first_hosts + [host for host in ranked if host not in first_hosts]
 
 
 def choose_backups(
     hosts: Iterable[HostView], recorder: HostSection, slot: int
 ) -> list[HostView]:
-    """Return the live hosts to offer a copy to, in this order.
+    """Return the live hosts to which a copy is sent, in order of preference.
 
-    A rack or data center fails as a whole now and then: a copy beside the original
-    would be lost with it, so other data centers come first.
+    Hosts of other data centers come first. A rack or data center can fail as a whole,
+    and a copy in the same data center would be lost together with the original.
     """
     live = [
         host
         for host in backup_order(hosts, recorder.name, slot)
         if host.state == STATE_LIVE
     ]
-    away = [host for host in live if host.data_center != recorder.data_center]
-    return away + [host for host in live if host not in away]
+    other_data_centers = [
+        host for host in live if host.data_center != recorder.data_center
+    ]
+    return other_data_centers + [
+        host for host in live if host not in other_data_centers
+    ]
--- a/packages/node/src/bronzepoint_node/decisions/_errors.py
+++ b/packages/node/src/bronzepoint_node/decisions/_errors.py
@@ -1,18 +1,18 @@
-"""Errors of looking up a decision."""
+"""Errors of the lookup of decision records."""
 
 from bronzepoint_schema.ids import RequestId
 
 RETRY_AFTER = 5.0
-"""Seconds after which hosts that did not answer may do so again."""
+"""Seconds after which a lookup may be retried if no host answered."""
 
 
 class WhyError(Exception):
-    """A decision could not be looked up.
+    """A decision record could not be looked up.
 
     Attributes:
         message: What is wrong.
         remedy: What to do about it.
-        retry_after: Seconds until another look makes sense; 0 where it makes none.
+        retry_after: Seconds after which a retry may succeed; 0: a retry is of no use.
     """
 
     def __init__(self, message: str, remedy: str, retry_after: float = 0.0) -> None:
@@ -23,7 +23,7 @@
 
 
 class BadRequestId(WhyError):
-    """The text is not an identifier that a host gives out."""
+    """The text is not a valid request identifier."""
 
     def __init__(self, text: str) -> None:
         super().__init__(
@@ -34,11 +34,11 @@
 
 
 class RecordNotFound(WhyError):
-    """The hosts that may hold the record were asked and have none."""
+    """The hosts that may hold the record have answered, and none has it."""
 
-    def __init__(self, request_id: RequestId, asked: str) -> None:
+    def __init__(self, request_id: RequestId, replies: str) -> None:
         super().__init__(
-            f"no record of request {request_id}: {asked}",
+            f"no record of request {request_id}: {replies}",
             "ask sooner after the request, raise [decisions] keep and own_bytes, or "
             "look in the log of the host that took it",
         )
@@ -47,9 +47,9 @@
 class RecordUnreachable(WhyError):
     """None of the hosts that may hold the record answered."""
 
-    def __init__(self, request_id: RequestId, asked: str) -> None:
+    def __init__(self, request_id: RequestId, replies: str) -> None:
         super().__init__(
-            f"the record of request {request_id} can't be read now: {asked}",
+            f"the record of request {request_id} can't be read now: {replies}",
             "ask a host of the request's own region, or ask again once the regions "
             "reach each other",
             RETRY_AFTER,
--- a/packages/node/src/bronzepoint_node/decisions/_lookup.py
+++ b/packages/node/src/bronzepoint_node/decisions/_lookup.py
@@ -1,4 +1,4 @@
-"""The look-up of everything known about one request, from any host."""
+"""Lookup of all decision records of a request, from any host."""
 
 from dataclasses import dataclass, field
 from datetime import UTC, datetime
@@ -8,7 +8,7 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import Area, PeerError, Peers
 from bronzepoint_node.decisions._backups import STATE_DEAD, HostsView, backup_order
-from bronzepoint_node.decisions._copies import BACKUPS_TRIED
+from bronzepoint_node.decisions._copy_sender import MAX_BACKUPS
 from bronzepoint_node.decisions._errors import RecordNotFound, RecordUnreachable
 from bronzepoint_node.decisions._packed import unpack_record
 from bronzepoint_node.decisions._request_id import RequestIdParts, parse_request_id
@@ -23,12 +23,12 @@
 from bronzepoint_schema.ids import HostName, RegionName, RequestId
 
 MAX_FORWARDS = 4
-"""Forwards followed for one request: more than a request is ever forwarded."""
+"""Forwards that are followed for one request; a request is never forwarded as often."""
 
 
 @dataclass(frozen=True)
-class _Place:
-    """A host that made a part of the decision, and where its backups are."""
+class _RecordingHost:
+    """A host that recorded part of the decision, and the region of its backups."""
 
     host: HostName
     region: RegionName
@@ -36,7 +36,7 @@
 
 @dataclass
 class _Reply:
-    """What one asked host said; found is None where it did not answer."""
+    """The reply of one host; found is None if it did not answer."""
 
     host: HostName
     found: FoundRecords | None
@@ -51,7 +51,7 @@
 
 @dataclass
 class _Search:
-    """The search for the records that one host made."""
+    """Result of the search for the records made by one host."""
 
     records: dict[HostName, DecisionRecord] = field(default_factory=dict)
     replies: list[_Reply] = field(default_factory=list)
@@ -61,20 +61,20 @@
         return any(reply.found is not None for reply in self.replies)
 
     def describe(self) -> str:
-        """Say who was asked and what came back."""
+        """Return the hosts that were queried and their replies, as text."""
         return "; ".join(str(reply) for reply in self.replies) or "no host is known"
 
 
 class Lookup:
-    """Finds records by asking the few hosts that may hold them, never all.
+    """Finds records by querying only the few hosts that may hold them.
 
     Args:
         host: This host.
-        store: What this host holds itself.
+        store: The records and copies on this host.
         peers: Links to the other hosts.
         hosts: The membership.
-        metrics: Counts what was asked.
-        timeout: Seconds to wait for one host.
+        metrics: Counters of this process.
+        timeout: Seconds to wait for the reply of one host.
     """
 
     def __init__(
@@ -94,21 +94,22 @@
         self._timeout = timeout
 
     async def why(self, request_id: RequestId) -> WhyAnswer:
-        """Return the records of a request and name the parts that are missing.
+        """Return the records of a request and the parts that are missing.
 
         Raises:
-            BadRequestId: Not an identifier.
-            RecordNotFound: The hosts that may hold it answered, and have none.
-            RecordUnreachable: None of them answered.
+            BadRequestId: The text is not a valid identifier.
+            RecordNotFound: The hosts that may hold the record answered, and none has
+                it.
+            RecordUnreachable: None of these hosts answered.
         """
         parts = parse_request_id(request_id)
-        origin = _Place(parts.host, parts.region)
+        origin = _RecordingHost(parts.host, parts.region)
         answer = WhyAnswer(request_id=request_id, records=[])
         search = await self._search(request_id, origin, parts.slot)
         if not search.records:
-            raise self._nothing_found(request_id, search)
+            raise self._lookup_error(request_id, search)
         if origin.host not in search.records:
-            answer.missing.append(_missing(origin, search))
+            answer.missing.append(_missing_part(origin, search))
         answer.records += search.records.values()
         await self._follow_forwards(answer, parts)
         return answer
@@ -116,19 +117,19 @@
     async def _follow_forwards(self, answer: WhyAnswer, parts: RequestIdParts) -> None:
         """Add the records of the hosts that the request was forwarded to."""
         seen = {parts.host, *(record.host for record in answer.records)}
-        waiting = _forwards(answer.records, seen)
-        while waiting and len(seen) <= MAX_FORWARDS:
-            place = waiting.pop(0)
-            seen.add(place.host)
-            search = await self._search(answer.request_id, place, parts.slot)
-            record = search.records.get(place.host)
+        pending = _forwarded_to(answer.records, seen)
+        while pending and len(seen) <= MAX_FORWARDS:
+            recording_host = pending.pop(0)
+            seen.add(recording_host.host)
+            search = await self._search(answer.request_id, recording_host, parts.slot)
+            record = search.records.get(recording_host.host)
             if record is None:
-                answer.missing.append(_missing(place, search))
+                answer.missing.append(_missing_part(recording_host, search))
                 continue
             answer.records.append(record)
-            waiting += _forwards([record], seen)
+            pending += _forwarded_to([record], seen)
 
-    def _nothing_found(
+    def _lookup_error(
         self, request_id: RequestId, search: _Search
     ) -> RecordNotFound | RecordUnreachable:
         if search.answered:
@@ -137,35 +138,38 @@
         self._metrics.incr("decisions.unreachable")
         return RecordUnreachable(request_id, search.describe())
 
-    async def _search(self, request_id: RequestId, place: _Place, slot: int) -> _Search:
-        """Ask the host itself, then its backups if it has not got the record.
+    async def _search(
+        self, request_id: RequestId, recording_host: _RecordingHost, slot: int
+    ) -> _Search:
+        """Query the host that made the record, then its backups if it has none.
 
-        Where the host is known as dead all are asked at once: waiting for it first
-        would only delay the answer, and not asking it would miss a host that is back.
+        A host that is considered dead is queried together with its backups. Waiting
+        for it first would only delay the answer, and skipping it would miss a host
+        that has just come back.
         """
         search = _Search()
-        hosts = self._hosts.hosts(place.region)
+        hosts = self._hosts.hosts(recording_host.region)
         backups = [
             host.name
-            for host in backup_order(hosts, place.host, slot)
+            for host in backup_order(hosts, recording_host.host, slot)
             if host.state != STATE_DEAD
-        ][:BACKUPS_TRIED]
-        known = self._hosts.host(place.host)
-        if known is None or known.state == STATE_DEAD:
-            await self._ask_all([place.host, *backups], request_id, search)
+        ][:MAX_BACKUPS]
+        info = self._hosts.host(recording_host.host)
+        if info is None or info.state == STATE_DEAD:
+            await self._query_all([recording_host.host, *backups], request_id, search)
             return search
-        await self._ask_all([place.host], request_id, search)
-        if place.host not in search.records:
-            await self._ask_all(backups, request_id, search)
+        await self._query_all([recording_host.host], request_id, search)
+        if recording_host.host not in search.records:
+            await self._query_all(backups, request_id, search)
         return search
 
-    async def _ask_all(
+    async def _query_all(
         self, hosts: list[HostName], request_id: RequestId, search: _Search
     ) -> None:
-        """Ask hosts at once, so that several silent ones cost one timeout."""
+        """Query hosts concurrently, so that unresponsive ones cost only one timeout."""
         async with curio.TaskGroup() as group:
             for host in hosts:
-                await group.spawn(self._ask, host, request_id)
+                await group.spawn(self._query, host, request_id)
         search.replies += group.results
         for reply in group.results:
             if reply.found is None:
@@ -173,25 +177,23 @@
             for packed in reply.found.records:
                 _keep_newest(search.records, unpack_record(packed), request_id)
 
-    async def _ask(self, host: HostName, request_id: RequestId) -> _Reply:
+    async def _query(self, host: HostName, request_id: RequestId) -> _Reply:
         self._metrics.incr("decisions.asked")
-        question = FindRecords(request_id=request_id)
+        query = FindRecords(request_id=request_id)
         if host == self._host:
-            return _Reply(host, answer_question(question, self._store))
+            return _Reply(host, answer_query(query, self._store))
         try:
-            found = await self._peers.call(
-                host, Area.DECISIONS, question, self._timeout
-            )
+            found = await self._peers.call(host, Area.DECISIONS, query, self._timeout)
         except PeerError as exc:
             return _Reply(host, None, str(exc))
         return _Reply(host, found)
 
 
-def answer_question(question: FindRecords, store: RecordStore) -> FoundRecords:
-    """Return what a host holds under an id, and since when it holds everything."""
-    recorder = parse_request_id(question.request_id).host
+def answer_query(query: FindRecords, store: RecordStore) -> FoundRecords:
+    """Return the records for an id, and the time since which the store is complete."""
+    recorder = parse_request_id(query.request_id).host
     return FoundRecords(
-        records=store.find(question.request_id),
+        records=store.find(query.request_id),
         kept_since=store.kept_since(recorder),
     )
 
@@ -203,8 +205,8 @@
 ) -> None:
     """Keep the newest record of each host.
 
-    A host records a forwarded request twice, before the forward and at its end; the
-    copy of the first must not hide the second.
+    A host records a forwarded request twice: before the forward and when it ends. The
+    copy of the first record must not replace the second one.
     """
     if record.request_id != request_id:
         return
@@ -213,25 +215,27 @@
         records[record.host] = record
 
 
-def _forwards(records: list[DecisionRecord], seen: set[HostName]) -> list[_Place]:
-    """Return where requests were forwarded to: tries at hosts of other regions."""
-    places = []
+def _forwarded_to(
+    records: list[DecisionRecord], seen: set[HostName]
+) -> list[_RecordingHost]:
+    """Return the hosts of other regions that the requests were forwarded to."""
+    recording_hosts = []
     for record in records:
         for attempt in record.tries:
-            place = _Place(HostName(attempt.target), attempt.region)
-            known = place.host in seen or place in places
-            if attempt.region != record.region and not known:
-                places.append(place)
-    return places
+            recording_host = _RecordingHost(HostName(attempt.target), attempt.region)
+            is_known = recording_host.host in seen or recording_host in recording_hosts
+            if attempt.region != record.region and not is_known:
+                recording_hosts.append(recording_host)
+    return recording_hosts
 
 
-def _missing(place: _Place, search: _Search) -> MissingPart:
+def _missing_part(recording_host: _RecordingHost, search: _Search) -> MissingPart:
     remedy = "ask again once the region can be reached"
     if search.answered:
-        remedy = "look in the log of that host; its record is gone"
+        remedy = "look in the log of that host; its record is lost"
     return MissingPart(
-        host=place.host,
-        region=place.region,
+        host=recording_host.host,
+        region=recording_host.region,
         reason=search.describe(),
         remedy=remedy,
     )
--- a/packages/node/src/bronzepoint_node/decisions/_packed.py
+++ b/packages/node/src/bronzepoint_node/decisions/_packed.py
@@ -1,7 +1,8 @@
-"""Compact form of a record, for keeping and copying many.
+"""Compact encoding of decision records for storage and copying.
 
-A record as it is shown takes 1.4 kB in MessagePack, most of it field names and 8-byte
-numbers. Here fields go by position, times are whole steps of 0.1 ms, scores of 0.0001.
+Encoded with field names and 8-byte numbers, a record takes 1.4 kB in MessagePack. The
+compact form encodes fields by position, times as multiples of 0.1 ms, and scores as
+multiples of 0.0001.
 """
 
 import math
@@ -21,10 +22,11 @@
 )
 from bronzepoint_schema.ids import HostName, RegionName, RequestId
 
-STEPS = 10_000
-"""Steps to a second, and to a score of 1."""
-LARGEST = 1e14
-"""Larger numbers, infinity too, are kept as this one."""
+STEPS_PER_UNIT = 10_000
+"""Encoded steps per second, or per score of 1."""
+MAX_NUMBER = 1e14
+"""Limit of encoded numbers in seconds or score; larger ones, including infinity, are
+stored as this value."""
 
 
 class _PackedCandidate(Struct, array_like=True):
@@ -73,12 +75,12 @@
 
 
 def pack_record(record: DecisionRecord) -> bytes:
-    """Return the compact form of a record."""
+    """Encode a record in the compact form."""
     packed = _PackedRecord(
         request_id=record.request_id,
         host=record.host,
         region=record.region,
-        arrived=_steps(record.arrived),
+        arrived=_to_steps(record.arrived),
         caller=record.caller,
         owner=record.owner,
         entry=record.entry,
@@ -94,19 +96,19 @@
         status=record.status,
         refusal=record.refusal,
         notes=record.notes,
-        duration=_steps(record.duration),
+        duration=_to_steps(record.duration),
     )
     return _encoder.encode(packed)
 
 
 def unpack_record(data: bytes) -> DecisionRecord:
-    """Return the record of a compact form."""
+    """Decode a record from the compact form."""
     packed = _decoder.decode(data)
     return DecisionRecord(
         request_id=packed.request_id,
         host=packed.host,
         region=packed.region,
-        arrived=packed.arrived / STEPS,
+        arrived=packed.arrived / STEPS_PER_UNIT,
         caller=packed.caller,
         owner=packed.owner,
         entry=packed.entry,
@@ -122,7 +124,7 @@
         status=packed.status,
         refusal=packed.refusal,
         notes=packed.notes,
-        duration=packed.duration / STEPS,
+        duration=packed.duration / STEPS_PER_UNIT,
     )
 
 
@@ -130,7 +132,7 @@
     return _PackedCandidate(
         candidate.name,
         candidate.region,
-        _steps(candidate.score),
+        _to_steps(candidate.score),
         candidate.excluded,
         candidate.detail,
     )
@@ -140,7 +142,7 @@
     return Candidate(
         packed.name,
         packed.region,
-        packed.score / STEPS,
+        packed.score / STEPS_PER_UNIT,
         packed.excluded,
         packed.detail,
     )
@@ -150,9 +152,9 @@
     return _PackedTry(
         attempt.target,
         attempt.region,
-        _steps(attempt.started),
+        _to_steps(attempt.started),
         attempt.result,
-        _steps(attempt.ended),
+        _to_steps(attempt.ended),
         attempt.retry_reason,
         attempt.detail,
     )
@@ -162,16 +164,16 @@
     return Try(
         packed.target,
         packed.region,
-        packed.started / STEPS,
+        packed.started / STEPS_PER_UNIT,
         packed.result,
-        packed.ended / STEPS,
+        packed.ended / STEPS_PER_UNIT,
         packed.retry_reason,
         packed.detail,
     )
 
 
-def _steps(value: float) -> int:
-    """Return a number in steps; one that can't be told as the nearest that can."""
+def _to_steps(value: float) -> int:
+    """Return a number in steps, limited to MAX_NUMBER; NaN becomes 0."""
     if math.isnan(value):
         return 0
-    return round(min(max(value, -LARGEST), LARGEST) * STEPS)
+    return round(min(max(value, -MAX_NUMBER), MAX_NUMBER) * STEPS_PER_UNIT)
--- a/packages/node/src/bronzepoint_node/decisions/_request_id.py
+++ b/packages/node/src/bronzepoint_node/decisions/_request_id.py
@@ -1,4 +1,4 @@
-"""Request identifiers that say where the record of the decision is kept."""
+"""Request identifiers, which contain the location of the decision record."""
 
 import re
 from typing import NamedTuple
@@ -9,19 +9,20 @@
 from bronzepoint_schema.ids import HostName, RegionName, RequestId
 
 SLOT_BITS = 16
-"""The backup host changes every 2**16 ms: a little over a minute."""
+"""Low bits of the time in ms that a slot ignores. The backup host changes with each
+slot, every 2**16 ms or about a minute."""
 _TIME_HEX_DIGITS = 12
 _PATTERN = re.compile(r"([^\s./]{1,64})\.([^\s./]{1,64})\.([0-9a-f]{32})")
 
 
 class RequestIdParts(NamedTuple):
-    """What an identifier says.
+    """The parts of a request identifier.
 
     Attributes:
-        host: The host that took the request.
-        region: Its region. It stands in the identifier because the backups are found
-            among the region's hosts, and a host that was replaced is soon forgotten.
-        slot: The interval in which the request arrived, which selects the backup.
+        host: The host that received the request from the caller.
+        region: The host's region. The backups are hosts of this region, and the region
+            of a host that was replaced can't be looked up in the membership for long.
+        slot: The time slot in which the request arrived, which selects the backup.
     """
 
     host: HostName
@@ -30,15 +31,15 @@
 
 
 def new_request_id(host: HostName, region: RegionName) -> RequestId:
-    """Return a new identifier for a request that this host takes."""
+    """Return a new identifier for a request that a host receives now."""
     return RequestId(f"{host}.{region}.{uuid_utils.uuid7().hex}")
 
 
 def parse_request_id(text: str) -> RequestIdParts:
-    """Return what an identifier says.
+    """Return the parts of a request identifier.
 
     Raises:
-        BadRequestId: The text is not an identifier.
+        BadRequestId: The text is not a valid identifier.
     """
     match = _PATTERN.fullmatch(text)
     if match is None:
--- a/packages/node/src/bronzepoint_node/decisions/_ring.py
+++ b/packages/node/src/bronzepoint_node/decisions/_ring.py
@@ -1,4 +1,4 @@
-"""A store of segments, bounded by bytes and by age."""
+"""In-memory store of segments, limited by size and age."""
 
 import time
 from collections import deque
@@ -7,11 +7,11 @@
 
 
 class SegmentRing:
-    """Keeps the newest segments and drops the oldest.
+    """Stores the newest segments and drops the oldest ones.
 
     Args:
-        max_bytes: Memory that all segments may take together.
-        keep: Seconds after which a segment is dropped, even if there is room.
+        max_bytes: Limit of the memory for all segments together, in bytes.
+        keep: Seconds after which a segment is dropped even if the memory isn't full.
     """
 
     def __init__(self, max_bytes: int, keep: float) -> None:
@@ -29,20 +29,20 @@
 
     @property
     def records(self) -> int:
-        """Records held."""
+        """Number of records stored."""
         return self._records
 
     @property
     def kept_since(self) -> float:
-        """Unix time from which everything that was added is still here.
+        """Unix time in seconds; all records added since then are still stored.
 
-        A record that is missing although it is newer than this never came here; one
-        that is older may have been dropped, or lost when the process started anew.
+        A missing record that is newer was never added. A missing record that is older
+        may have been dropped, or lost when the process restarted.
         """
         return time.time() - (time.monotonic() - self._dropped_until)
 
     def add(self, segment: Segment) -> None:
-        """Add a segment, and drop the oldest ones where the bounds ask for it."""
+        """Add a segment, and drop the oldest ones to stay within the limits."""
         self._segments.append(segment)
         self._bytes += segment.size
         self._records += len(segment.keys)
@@ -51,7 +51,11 @@
         self.expire(segment.sealed)
 
     def expire(self, now: float) -> None:
-        """Drop the segments that have reached their age."""
+        """Drop the segments that are too old.
+
+        Args:
+            now: Monotonic time in seconds.
+        """
         while self._segments and now - self._segments[0].sealed > self._keep:
             self._drop_oldest()
 
--- a/packages/node/src/bronzepoint_node/decisions/_segment.py
+++ b/packages/node/src/bronzepoint_node/decisions/_segment.py
@@ -1,8 +1,8 @@
-"""Sealed batches of records: the unit that is copied, kept and dropped.
+"""Segments: sealed batches of records that are copied, stored and dropped as a whole.
 
-Records of one batch resemble each other, so packing them together takes a fraction
-of the bytes; the same bytes are kept here and sent to the backup, which needs neither
-to unpack nor to index them.
+Records of one batch are similar, so compressing them together takes a fraction of the
+bytes. The same bytes are stored here and sent to the backup host, which needs neither
+to decompress nor to index them.
 """
 
 import zlib
@@ -16,16 +16,18 @@
 from bronzepoint_schema.ids import RequestId
 
 _COMPRESSION_LEVEL = 6
+"""Compression level of zlib, from 0 to 9."""
 _OVERHEAD_BYTES = 300
-"""Memory of the objects around the packed bytes, measured with sys.getsizeof."""
+"""Memory in bytes of the objects around the packed bytes, as by sys.getsizeof."""
 _KEY_BYTES = 8
+"""Bytes of one 64-bit key."""
 
 _encoder = msgspec.msgpack.Encoder()
 _frames = msgspec.msgpack.Decoder(list[msgspec.Raw])
 
 
 def record_key(request_id: RequestId) -> int:
-    """Return the 64-bit hash under which a record is found."""
+    """Return the 64-bit hash of a request id, which is the key of its records."""
     return xxh64_intdigest(request_id.encode())
 
 
@@ -34,9 +36,10 @@
     """A sealed batch.
 
     Attributes:
-        keys: Hash of each record's request id, in the order of the records.
-        packed: The records.
-        sealed: Monotonic time in seconds at which it came to this host.
+        keys: Key of each record, in the order of the records.
+        packed: The compressed records.
+        sealed: Monotonic time in seconds at which it was sealed on this host or
+            received from another one.
     """
 
     keys: array
@@ -45,7 +48,7 @@
 
     @property
     def size(self) -> int:
-        """Bytes of memory that it takes."""
+        """Memory in bytes that the segment takes."""
         return len(self.packed) + len(self.keys) * _KEY_BYTES + _OVERHEAD_BYTES
 
     def find(self, key: int) -> list[bytes]:
@@ -61,11 +64,17 @@
 
 
 def seal(keys: list[int], records: list[bytes], now: float) -> Segment:
-    """Make one segment of packed records, each with its key."""
+    """Return a segment of packed records.
+
+    Args:
+        keys: Key of each record.
+        records: The packed records.
+        now: Monotonic time in seconds.
+    """
     frames = _encoder.encode([msgspec.Raw(record) for record in records])
     return Segment(array("Q", keys), zlib.compress(frames, _COMPRESSION_LEVEL), now)
 
 
 def segment_of_copy(message: CopySegment, now: float) -> Segment:
-    """Return the segment of another host's message, as kept here."""
+    """Return the segment in another host's message, received at monotonic ``now``."""
     return Segment(array("Q", message.keys), message.packed, now)
--- a/packages/node/src/bronzepoint_node/decisions/_abridged.py
+++ b/packages/node/src/bronzepoint_node/decisions/_shortened.py
@@ -1,4 +1,4 @@
-"""The shorter record that is copied to the backup host."""
+"""Shortening of decision records for the copy on the backup host."""
 
 import msgspec
 
@@ -9,14 +9,16 @@
 )
 
 COPIED_CANDIDATES = 3
+"""Number of candidates in the copy of a record."""
 
 
-def abridge(record: DecisionRecord) -> DecisionRecord:
-    """Return a record with fewer candidates, for the copy.
+def shorten(record: DecisionRecord) -> DecisionRecord:
+    """Return a record with at most COPIED_CANDIDATES candidates, for the copy.
 
-    Candidates are most of a record, and at the size to come whole copies would take
-    three quarters of what a host may send and receive for control. The choice stays,
-    then those that were ruled out for a reason, then those that were merely worse.
+    Candidates make up most of a record. In deployments of the planned size full copies
+    would take three quarters of a host's bandwidth budget for control traffic. The
+    chosen candidate is kept first, then those that were excluded for a reason, then
+    those that only had a worse score.
     """
     ranked = sorted(record.candidates, key=lambda item: _rank(item, record.choice))
     kept = ranked[:COPIED_CANDIDATES]
--- a/tests/test_decisions_lookup.py
+++ b/tests/test_decisions_lookup.py
@@ -1,4 +1,4 @@
-"""Look-up of decision records between hosts linked by real sockets."""
+"""Lookup of decision records between hosts linked by real sockets."""
 
 import unittest
 from contextlib import asynccontextmanager
@@ -44,7 +44,7 @@
 
 @dataclass
 class FakeMembership:
-    """One view shared by all hosts of a test; tests change the states."""
+    """A membership view that all hosts of a test share; tests change the states."""
 
     known: dict[str, FakeHost] = field(default_factory=dict)
 
@@ -64,7 +64,7 @@
     peers: dict[str, Peers]
 
     async def kill(self, name):
-        """Take a host away without a farewell: nothing more is sent or answered."""
+        """Stop a host without a clean shutdown; it sends and answers nothing more."""
         await self.decisions[name]._task.cancel()
         await self.peers[name].close()
 
@@ -74,7 +74,7 @@
         return backup_order(hosts, parts.host, parts.slot)[0].name
 
     async def wait_for_copy(self, request_id):
-        """Poll until the backup holds the record."""
+        """Poll until the backup has the record."""
         store = self.decisions[self.backup_of(request_id)]._store
         async with curio.timeout_after(DEADLINE):
             while not store.find(request_id):
@@ -124,23 +124,22 @@
 
 class LookupTest(unittest.TestCase):
     @params("bkk-1", "bkk-2", "sgp-1")
-    def test_any_host_finds_a_record(self, asked):
+    def test_any_host_finds_a_record(self, queried):
         async def main():
             async with site() as hosts:
                 request_id = await recorded(hosts.decisions["bkk-1"], reason="only")
-                answer = await hosts.decisions[asked].why(request_id)
+                answer = await hosts.decisions[queried].why(request_id)
                 self.assertEqual([r.reason for r in answer.records], ["only"])
                 self.assertEqual(answer.missing, [])
 
         curio.run(main)
 
     @params("bkk-2", "bkk-3", "sgp-1")
-    def test_backup_answers_for_a_killed_host(self, asked):
-        """Symptom: the operator asks why a request went wrong and nobody knows.
+    def test_backup_answers_for_a_killed_host(self, queried):
+        """Guards against the loss of a record together with its host.
 
-        Sequence: a host records a decision, the copy travels, the host is killed
-        and is forgotten by the membership; any other host is asked. Cause that this
-        guards against: the record lived only in the memory of the killed host.
+        A host records a decision and sends the copy, then it is killed and removed
+        from the membership. If the record were only in its memory, it would be lost.
         """
 
         async def main():
@@ -149,16 +148,16 @@
                 await hosts.wait_for_copy(request_id)
                 await hosts.kill("bkk-1")
                 del hosts.membership.known["bkk-1"]
-                answer = await hosts.decisions[asked].why(request_id)
+                answer = await hosts.decisions[queried].why(request_id)
                 self.assertEqual([r.reason for r in answer.records], ["only"])
 
         curio.run(main)
 
-    def test_lost_backup_leaves_the_original(self):
-        """Symptom: a record is reported as gone although its host still has it.
+    def test_original_is_found_after_the_backup_is_lost(self):
+        """Guards against a record reported as lost while its host still has it.
 
-        Sequence: the backup that got the copy is killed. Cause that this guards
-        against: a look-up that trusts only the copy.
+        The backup with the copy is killed. A lookup that queries only the backup would
+        find nothing.
         """
 
         async def main():
@@ -178,11 +177,12 @@
 
         curio.run(main)
 
-    def test_both_lost_is_said(self):
-        """Symptom: the error of a lost record leaves the operator to guess.
+    def test_error_explains_the_loss_of_both_copies(self):
+        """Guards against an error that doesn't tell why a record is lost.
 
-        Sequence: host and backup are killed, a third host is asked. The error names
-        who was asked, who did not answer, and since when the others keep records.
+        Host and backup are killed, then the record is looked up from another host. The
+        error must name the hosts that did not answer, and the time since which the
+        others have records.
         """
 
         async def main():
@@ -202,7 +202,7 @@
 
         curio.run(main)
 
-    def test_forward_is_followed(self):
+    def test_lookup_follows_forwards(self):
         async def main():
             async with site() as hosts:
                 home = hosts.decisions["bkk-1"]
@@ -218,11 +218,11 @@
 
         curio.run(main)
 
-    def test_away_region_cut_off_gives_the_home_part(self):
-        """Symptom: a partition between regions hides also the part that is at hand.
+    def test_partition_leaves_the_local_part_available(self):
+        """Guards against a network partition that hides records still available.
 
-        Sequence: a request was forwarded to another region, then that region can't
-        be reached. The answer holds the home record and names what is missing.
+        A request was forwarded to another region, which can't be reached any more. The
+        answer must contain the record of this region and name the missing part.
         """
 
         async def main():
@@ -240,8 +240,8 @@
 
         curio.run(main)
 
-    def test_cut_off_region_is_not_called_lost(self):
-        """Symptom: a record is called gone while its region is only out of reach."""
+    def test_unreachable_region_is_not_reported_as_lost(self):
+        """Guards against a record reported as lost while its region is unreachable."""
 
         async def main():
             async with site() as hosts:
@@ -255,11 +255,12 @@
 
         curio.run(main)
 
-    def test_copy_leaves_at_once_after_a_quiet_interval(self):
-        """Symptom: a host is killed right after a request, and nobody knows why.
+    def test_copy_is_sent_at_once_after_an_idle_interval(self):
+        """Guards against the loss of a record if its host is killed right after.
 
-        Sequence: one request in a quiet time, then the kill. Cause: copies were sent
-        only when the interval had passed. Later ones of the interval are gathered.
+        This happened when copies were sent only at the end of an interval. The first
+        record after an idle interval must be copied at once; later ones of the interval
+        are batched.
         """
 
         async def main():
@@ -275,10 +276,10 @@
         curio.run(main)
 
     def test_last_records_survive_a_clean_shutdown(self):
-        """Symptom: the newest records of a restarted host are missing.
+        """Guards against the loss of a restarted host's newest records.
 
-        Sequence: a host records and is shut down before the next copy is due.
-        Cause that this guards against: closing the links drops what is queued.
+        A host is shut down before the next copy is due. Closing the links drops queued
+        messages, so the copies must be sent and confirmed before.
         """
 
         async def main():
@@ -307,18 +308,20 @@
 
         curio.run(main)
 
-    def test_few_hosts_are_asked(self):
-        """A look-up in a large region asks the host and three backups at most."""
+    def test_few_hosts_are_queried(self):
+        """A lookup in a large region queries the host and at most three backups."""
 
         async def main():
             async with site() as hosts:
                 for index in range(100):
                     name = f"bkk-x{index}"
                     hosts.membership.known[name] = FakeHost(name, "bkk", "bkk-a")
-                asker = hosts.decisions["sgp-1"]
+                querying_host = hosts.decisions["sgp-1"]
                 with self.assertRaises(RecordNotFound):
-                    await asker.why(new_request_id("bkk-1", "bkk"))
-                self.assertEqual(asker._metrics.counters()["decisions.asked"], 4)
+                    await querying_host.why(new_request_id("bkk-1", "bkk"))
+                self.assertEqual(
+                    querying_host._metrics.counters()["decisions.asked"], 4
+                )
 
         curio.run(main)
 
--- a/tests/test_decisions_packed.py
+++ b/tests/test_decisions_packed.py
@@ -1,4 +1,4 @@
-"""The compact form of a record holds all of it, and the copy what matters most."""
+"""Compact encoding of decision records, and their shortened copies."""
 
 import math
 import unittest
@@ -6,8 +6,8 @@
 import msgspec
 from nose2.tools import params
 
-from bronzepoint_node.decisions._abridged import COPIED_CANDIDATES, abridge
 from bronzepoint_node.decisions._packed import pack_record, unpack_record
+from bronzepoint_node.decisions._shortened import COPIED_CANDIDATES, shorten
 from bronzepoint_schema.generated.decisions import (
     Candidate,
     DecisionRecord,
@@ -62,26 +62,26 @@
 
 class PackedTest(unittest.TestCase):
     @params(RECORD, DEFAULTS)
-    def test_nothing_is_lost(self, record):
+    def test_packing_keeps_all_fields(self, record):
         self.assertEqual(unpack_record(pack_record(record)), record)
 
     @params((RECORD, DEFAULTS), (RECORD.tries[0], Try("", "", 0.0, TryResult.failed)))
     def test_example_sets_every_field(self, example, plain):
-        """A field that is added later must be packed, too: this fails until it is."""
+        """A new field of a record must also be added to the compact form."""
         for name in example.__struct_fields__:
             with self.subTest(name):
                 self.assertNotEqual(getattr(example, name), getattr(plain, name))
 
     @params(math.inf, -math.inf, math.nan, 1e300)
-    def test_any_score_can_be_kept(self, score):
-        """Symptom: a request fails because its record can't be kept."""
+    def test_any_score_can_be_packed(self, score):
+        """Guards against a request that fails because a score can't be encoded."""
         record = msgspec.structs.replace(DEFAULTS)
         record.candidates = [Candidate("e1", "bkk", score)]
         unpack_record(pack_record(record))
 
 
 class AbridgedTest(unittest.TestCase):
-    def test_copy_keeps_the_choice_and_the_reasons(self):
+    def test_copy_keeps_the_choice_and_excluded_candidates(self):
         worse = [(f"w{i}", ExclusionReason.worse) for i in range(6)]
         record = msgspec.structs.replace(
             RECORD,
@@ -90,13 +90,13 @@
             ),
             choice="chosen",
         )
-        shorter = abridge(record)
-        names = [item.name for item in shorter.candidates]
+        shortened = shorten(record)
+        names = [item.name for item in shortened.candidates]
         self.assertEqual(len(names), COPIED_CANDIDATES)
         self.assertIn("chosen", names)
         self.assertIn("full", names)
-        self.assertIn("5 more candidates on bkk-1", shorter.notes[-1])
+        self.assertIn("5 more candidates on bkk-1", shortened.notes[-1])
         self.assertEqual(len(record.candidates), 8)
 
-    def test_short_record_stays_as_it_is(self):
-        self.assertIs(abridge(RECORD), RECORD)
+    def test_short_record_is_unchanged(self):
+        self.assertIs(shorten(RECORD), RECORD)
--- a/tests/test_decisions_ring.py
+++ b/tests/test_decisions_ring.py
@@ -1,4 +1,4 @@
-"""The bounded store of segments and the order of backups."""
+"""The size-limited store of segments, and the selection of backups."""
 
 import unittest
 from collections import Counter
@@ -27,13 +27,13 @@
 
 
 def segment(key, now, size=2000):
-    # Random-looking text, so that packing does not make the sizes meaningless.
+    # Text that hardly compresses, so that the segments have about the given size.
     text = "".join(chr(33 + (key * 7919 + i * i * 31) % 90) for i in range(size))
     return seal([key], [b"\xda" + size.to_bytes(2, "big") + text.encode()], now)
 
 
 class RingTest(unittest.TestCase):
-    def test_bytes_are_bounded_and_the_oldest_go(self):
+    def test_size_is_limited_by_dropping_the_oldest(self):
         ring = SegmentRing(max_bytes=20_000, keep=1000.0)
         for key in range(100):
             ring.add(segment(key, float(key)))
@@ -42,7 +42,7 @@
         self.assertEqual(len(ring.find(99)), 1)
         self.assertLess(ring.records, 100)
 
-    def test_age_is_bounded(self):
+    def test_age_is_limited(self):
         ring = SegmentRing(max_bytes=10**6, keep=10.0)
         ring.add(segment(1, 100.0))
         ring.add(segment(2, 105.0))
@@ -69,18 +69,18 @@
 
     @params("a", "b", "c")
     def test_copy_goes_to_another_data_center(self, data_center):
-        """Symptom: original and copy are lost together when a data center fails.
+        """Guards against losing original and copy in a data center's failure.
 
-        The choice must also be among the first that a searcher asks, who may not
-        know any more in which data center the recorder was.
+        The backup must also be among the first hosts that a lookup queries, which may
+        not know the data center of the host that made the record.
         """
         hosts = [FakeHost(f"{dc}{i}", dc) for dc in "abc" for i in range(10)]
         recorder = HostSection(f"{data_center}0", "bkk", data_center)
         for slot in range(200):
             backup = choose_backups(hosts, recorder, slot)[0]
             self.assertNotEqual(backup.data_center, data_center)
-            asked = backup_order(hosts, recorder.name, slot)[:3]
-            self.assertIn(backup, asked)
+            queried = backup_order(hosts, recorder.name, slot)[:3]
+            self.assertIn(backup, queried)
 
     def test_dead_and_draining_hosts_get_no_copies(self):
         hosts = [FakeHost("h1", state="dead"), FakeHost("h2", state="draining")]
