--- a/packages/node/src/bronzepoint_node/relay/__init__.py
+++ b/packages/node/src/bronzepoint_node/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Requests passed on as they came: from the caller to a target, and the answer back."""
+"""Relays requests unchanged from callers to targets, and the answers back."""
 
 from ._codec import CallerHead, Codec, Copies, TargetVerdict
 from ._events import EventSplitter
--- a/packages/node/src/bronzepoint_node/relay/_call.py
+++ b/packages/node/src/bronzepoint_node/relay/_call.py
@@ -1,4 +1,4 @@
-"""One request on its way, and how its tries end."""
+"""State of one request in progress, and the outcomes of its tries."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True)
 class NotRun:
-    """The request certainly did not run.
+    """The try failed and the request certainly did not run.
 
     Attributes:
-        reason: For the log and the counters.
-        by_target: True where a target received it and turned it away.
-        retry_after: Seconds until it may be tried again; 0: not said.
+        reason: Reason in the log and the metrics.
+        by_target: True if a target received the request and rejected it.
+        retry_after: Seconds until the request may be retried; 0: not specified.
     """
 
     reason: str
@@ -31,7 +31,12 @@
 
 @dataclass(frozen=True)
 class MayHaveRun:
-    """No whole answer came, and the request may have run."""
+    """No complete answer arrived, and the request may have run.
+
+    Attributes:
+        reason: Reason in the log and the metrics.
+        timed_out: The target did not answer in time.
+    """
 
     reason: str
     timed_out: bool = False
@@ -39,10 +44,13 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """A whole answer came.
+    """A complete answer arrived.
 
     Attributes:
-        streamed: True where it was passed on already.
+        status: HTTP status.
+        headers: Headers of the answer.
+        body: Body of the answer; empty if it was streamed.
+        streamed: True if the answer has already been sent to the caller.
     """
 
     status: int
@@ -52,24 +60,24 @@
 
     @property
     def reason(self) -> str:
-        """How the try ended, in a word, as the other outcomes have it."""
+        """Reason in the log and the metrics, as for the other outcomes."""
         return "answered"
 
 
 LATE_RANKS = 4
-"""Ranks by which a request is put back that can't be answered in time any more: behind
-all kinds that can."""
+"""Ranks added to a request that can no longer meet its objective: it queues behind
+requests of every priority that still can."""
 TryOutcome = NotRun | MayHaveRun | Answered
 
 
 class Progress(NamedTuple):
-    """How far a request has got.
+    """Snapshot of a request's counters.
 
     Attributes:
         sends: Times it was sent to a target or to another region.
-        hosts: Hosts of other regions that it was forwarded to.
-        arrivals: Times that a target received it, as far as is known.
-        runs: Tries that ended without a proof that the request did not run.
+        hosts: Number of hosts of other regions that it was forwarded to.
+        arrivals: Times that a target is known to have received it.
+        runs: Tries that ended without proof that the request did not run.
     """
 
     sends: int
@@ -80,55 +88,57 @@
 
 @dataclass
 class Call:
-    """One caller's request.
+    """State of one caller's request.
+
+    All times are monotonic seconds.
 
     Attributes:
-        exchange: The caller's connection.
-        head: What the request says.
-        route: The route that it takes.
-        body: Its whole body.
-        arrived: When it was read.
-        until: When its final answer is due.
-        forwarded: Another region sent it.
-        events: What was passed on of its stream.
-        spent: Seconds that its caller had waited before it came here.
-        names: What is asked; the same when its caller asks again.
-        suspect: It was beside several crashes of targets.
-        has_permit: A host of the core has permitted to try it all the same.
-        organisation: Who asks; None: nobody who is known.
-        version: Catalogue by which that was looked up last.
-        charge: What it has used of its organisation's quota; None: nothing limits it.
-        tried: Targets that it was sent to.
+        exchange: Connection to the caller.
+        head: Parsed headers of the request.
+        route: Route that the request matched.
+        body: Complete body of the request.
+        received_at: Time at which the request began to be read.
+        deadline_at: Time at which the final answer is due.
+        forwarded: True if a host of another region forwarded the request.
+        events: Splitter of the stream that is sent to the caller.
+        prior_wait: Estimated seconds that the caller had waited before this request.
+        fingerprints: Fingerprints of the request, the same when it is repeated.
+        suspect: True if it was running during several target crashes.
+        has_permit: True if a core host has permitted a trial of this suspect request.
+        organisation: Organisation of the caller; None: unknown caller.
+        version: Version of the catalogue that the organisation was last looked up in.
+        charge: Charge to the organisation's quota; None: no quota applies.
+        tried: Incarnations of the targets that it was sent to.
         tried_hosts: Hosts of other regions that it was forwarded to.
-        looks: Times that a place for it was looked for.
+        placement_requests: Number of times a placement was requested for it.
         sends: Times it was sent to a target or to another region.
-        first_event_at: When the first event was passed on; 0: none yet.
-        last_event_at: When the newest one was.
-        longest_gap: Longest time between two of them.
-        arrivals: Times that a target received it, as far as is known.
-        written: A byte of the try in progress may have left this host.
-        runs: Tries that ended without a proof that the request did not run.
-        told_runs: Those of them that the host that forwarded it has told of.
-        granted_runs: Runs up to which the host that forwarded it allows; 0: it didn't
-            say, or no host forwarded it.
-        ended_runs: Those of them whose target has ended since.
-        last_outcome: How the last try ended.
-        notes: How each try ended, for the log.
-        known_ms: For each try at a target of the own region, the milliseconds that
-            what its choice went by may have been old.
+        first_event_at: Time at which the first event was sent on; 0: none yet.
+        last_event_at: Time at which the latest event was sent on.
+        longest_gap: Longest time between two consecutive events, in seconds.
+        arrivals: Times that a target is known to have received it.
+        written: True if a byte of the current try may have left this host.
+        runs: Tries that ended without proof that the request did not run.
+        reported_runs: The part of ``runs`` that the forwarding host reported.
+        granted_runs: Limit of ``runs`` set by the forwarding host; 0: not
+            specified, or not forwarded.
+        ended_runs: The part of ``runs`` whose target process has ended since.
+        last_outcome: Outcome of the last try.
+        notes: Description of each try, for the log.
+        staleness_ms: For each try in the own region, the maximum age in
+            milliseconds of the load information that the target was chosen by.
     """
 
     exchange: Exchange
     head: CallerHead
     route: ServedRoute
     body: bytes
-    arrived: float
-    until: float
+    received_at: float
+    deadline_at: float
     forwarded: bool
     events: EventSplitter
     tried: set[str] = field(default_factory=set)
     tried_hosts: set[str] = field(default_factory=set)
-    looks: int = 0
+    placement_requests: int = 0
     sends: int = 0
     first_event_at: float = 0.0
     last_event_at: float = 0.0
@@ -136,14 +146,14 @@
     arrivals: int = 0
     written: bool = False
     runs: int = 0
-    told_runs: int = 0
+    reported_runs: int = 0
     granted_runs: int = 0
     ended_runs: int = 0
     last_outcome: TryOutcome | None = None
     notes: list[str] = field(default_factory=list)
-    known_ms: list[int] = field(default_factory=list)
-    spent: float = 0.0
-    names: RequestNames = RequestNames()
+    staleness_ms: list[int] = field(default_factory=list)
+    prior_wait: float = 0.0
+    fingerprints: RequestNames = RequestNames()
     suspect: bool = False
     has_permit: bool = False
     organisation: Organisation | None = None
@@ -151,96 +161,97 @@
     charge: Charge | None = None
 
     def progress(self) -> Progress:
-        """Return how far the request has got."""
+        """Return the current counters of the request."""
         hosts = len(self.tried_hosts)
         return Progress(self.sends, hosts, self.arrivals, self.runs)
 
-    def note_events(self, now: float) -> None:
-        """Count events that are passed on."""
+    def record_events(self, now: float) -> None:
+        """Record that events are sent on to the caller at ``now``."""
         if not self.first_event_at:
             self.first_event_at = now
         else:
             self.longest_gap = max(self.longest_gap, now - self.last_event_at)
         self.last_event_at = now
 
-    def note_written(self) -> None:
-        """Count that the request is about to leave this host."""
+    def record_written(self) -> None:
+        """Record that bytes of the request may leave this host from now on."""
         self.written = True
 
     def rank(self, now: float) -> int:
-        """Return how urgent it is at targets and in line; 0 goes first.
+        """Return the rank of the request in queues, here and at targets; 0 goes first.
 
-        An answer that is late already earns less than one that can still be in time.
-        After a kill of everything those that come again stand in one crowd with those
-        that have just begun; served in order of arrival, all of them are late.
+        Requests that have missed their objective rank behind those that can still meet
+        it. After a restart of the whole cluster, retried requests arrive together with
+        new ones; served in order of arrival, all of them would be late.
         """
-        waited = self.spent + now - self.arrived
+        waited = self.prior_wait + now - self.received_at
         is_late = not self.first_event_at and waited > self.route.objective
         return self.priority + LATE_RANKS * is_late
 
     @property
     def priority(self) -> int:
-        """Return its rank while it is in time: its organisation's goes first."""
-        asking = self.organisation
-        if asking is None or asking.priority is None:
+        """Rank before any lateness: the organisation's priority, else the route's."""
+        organisation = self.organisation
+        if organisation is None or organisation.priority is None:
             return self.route.priority
-        return asking.priority
+        return organisation.priority
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether there is no proof that this host had it run nowhere."""
+        """Whether the request may have run through a try of this host."""
         return self.written or self.has_run
 
     @property
     def has_run(self) -> bool:
-        """Tell whether a try of this host ended without such a proof.
+        """Whether a finished try of this host may have run the request.
 
-        Of its runs before it was forwarded the host that did so knows itself.
+        Runs before the request was forwarded are excluded: the forwarding host already
+        counts them.
         """
-        return self.runs > self.told_runs
+        return self.runs > self.reported_runs
 
     def answer_headers(self, headers: dict[str, str]) -> dict[str, str]:
-        """Return an answer's headers; another region is told how often it ran here."""
+        """Return an answer's headers, with the number of runs for a forwarding host."""
         if not self.forwarded:
             return headers
         return {**headers, RUNS_HEADER: str(self.counted_runs)}
 
     @property
     def counted_runs(self) -> int:
-        """Runs that count against the route's bound.
+        """Runs that count against the route's limit.
 
-        It bounds how many targets work for one request. One that has crashed works for
-        nobody: where it counted, a stream that two crashes had cut was given up, though
-        others could have gone on with it.
+        The limit bounds how many targets work on one request at once. Runs on targets
+        that have ended are excluded: counting them gave up streams that two crashes had
+        interrupted, although another target could have resumed them.
         """
         return self.runs - self.ended_runs
 
     @property
-    def most_runs(self) -> int:
-        """Runs that this host may bring the request to."""
+    def max_runs(self) -> int:
+        """Limit of runs for this request on this host."""
         if self.granted_runs:
             return min(self.granted_runs, self.route.max_attempts)
         return self.route.max_attempts
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether the request may be sent again, with all that ran so far."""
-        if not self.route.repeatable or self.counted_runs >= self.most_runs:
+        """Whether the request may be sent again, given its runs so far."""
+        if not self.route.repeatable or self.counted_runs >= self.max_runs:
             return False
         if self.exchange.started and self.events.last_id is None:
             return False
-        return self.left > 0
+        return self.time_left > 0
 
     @property
-    def may_repeat_after(self) -> bool:
-        """Tell whether the request may be sent again after the try in progress."""
-        return self.route.repeatable and self.counted_runs + 1 < self.most_runs
+    def may_repeat_after_this(self) -> bool:
+        """Whether the request may be sent again after the current try."""
+        return self.route.repeatable and self.counted_runs + 1 < self.max_runs
 
-    def is_flowing(self, now: float, pause: float) -> bool:
-        """Tell whether an event came within ``pause`` seconds."""
+    def has_recent_event(self, now: float, pause: float) -> bool:
+        """Return whether an event arrived within the last ``pause`` seconds."""
         return now - self.last_event_at < pause
 
     @property
-    def left(self) -> float:
-        """Seconds until its final answer is due."""
-        return self.until - monotonic()
+    def time_left(self) -> float:
+        """Seconds until the final answer is due; negative after that."""
+        return self.deadline_at - monotonic()
--- a/packages/node/src/bronzepoint_node/relay/_codec.py
+++ b/packages/node/src/bronzepoint_node/relay/_codec.py
@@ -1,4 +1,4 @@
-"""What the relay needs to know of the words that callers and targets use."""
+"""Interface between the relay and the headers that callers and targets use."""
 
 from enum import Enum
 from typing import Protocol
@@ -11,17 +11,17 @@
 
 
 class CallerHead(Struct, frozen=True):
-    """What a caller's request says, in the project's words.
+    """Parsed headers of a caller's request.
 
     Attributes:
-        request_id: The caller's own id of this attempt; empty: none.
-        host: Host name that was asked for.
-        deadline: Seconds for which the caller waits; None: it doesn't say.
-        prompt: What is said of the prompt; None: nothing.
-        last_event: Event after which a stream goes on; None: from the beginning.
-        headers: Headers that go on to the target as they are; no API key is among them.
-        key: Digest of the caller's API key; None: it sent none.
-        tokens: Tokens that it may use, with its longest answer; None: not said.
+        request_id: The caller's id of this request; empty: none.
+        host: Host name that the request was sent to.
+        deadline: Seconds for which the caller waits; None: not specified.
+        prompt: Prompt sizes and prefixes that the request declares; None: none.
+        last_event: Id of the event after which a stream resumes; None: from the start.
+        headers: Headers to pass to the target unchanged; never contains an API key.
+        key: Digest of the caller's API key; None: no key was sent.
+        tokens: Maximum tokens of the prompt and the answer; None: not specified.
     """
 
     request_id: str
@@ -35,7 +35,14 @@
 
 
 class TargetVerdict(Enum):
-    """What the head of a target's answer says."""
+    """Classification of a target's answer by its status and headers.
+
+    Attributes:
+        ANSWER: An answer to the request.
+        NOT_RUN: The target rejected the request without running it.
+        REPLACED: Another incarnation of the target is running at this address.
+        OTHER_REQUEST: The answer belongs to another request.
+    """
 
     ANSWER = "answer"
     NOT_RUN = "not_run"
@@ -44,20 +51,24 @@
 
 
 class Copies(Struct, frozen=True):
-    """What a target is to copy from or to others for one request.
+    """Instructions to a target to copy cached prompt data for one request.
 
     Attributes:
-        fetch_from: Address of a target that keeps more of the prompt; empty: none.
+        fetch_from: Address of a target that has more of the prompt cached; empty: none.
     """
 
     fetch_from: str = ""
 
 
 class Codec(Protocol):
-    """Translates heads; see the platform's adapter."""
+    """Translates between HTTP headers and the relay's types."""
 
     def read_request(self, request: Request) -> CallerHead:
-        """Read a caller's request; raises BadRequest."""
+        """Parse the headers of a caller's request.
+
+        Raises:
+            BadRequest: A header is invalid.
+        """
 
     def target_headers(
         self,
@@ -69,22 +80,23 @@
         copies: Copies | None = None,
         organisation: OrganisationName | None = None,
     ) -> dict[str, str]:
-        """Return the headers of the request for a target.
+        """Return the headers of a request to a target.
 
         Args:
             head: The caller's request.
             left: Seconds until the deadline.
-            incarnation: The only start of the target that may run it; empty: any.
-            priority: Rank at the target; None: left out.
-            last_event: Event after which the stream goes on.
-            copies: What the target is to copy; None: nothing.
-            organisation: Who asks, as the target is told; None: it isn't told.
+            incarnation: The only incarnation of the target that may run the request;
+                empty: any.
+            priority: Rank in the target's queue; None: omitted.
+            last_event: Id of the event after which the stream resumes.
+            copies: Data for the target to copy; None: nothing.
+            organisation: Organisation of the caller; None: omitted.
         """
 
     def judge(
         self, head: CallerHead, status: int, headers: dict[str, str]
     ) -> TargetVerdict:
-        """Tell what the head of an answer says."""
+        """Classify an answer by its status and headers."""
 
     def answer_headers(self, headers: dict[str, str]) -> dict[str, str]:
-        """Return the headers of an answer that go on to the caller."""
+        """Return the headers of a target's answer that the caller receives."""
--- a/packages/node/src/bronzepoint_node/relay/_events.py
+++ b/packages/node/src/bronzepoint_node/relay/_events.py
@@ -1,4 +1,4 @@
-"""Cutting a stream into whole events."""
+"""Splits a byte stream into complete server-sent events."""
 
 import re
 
@@ -7,37 +7,38 @@
 
 
 class EventSplitter:
-    """Gives a stream of server-sent events on in whole events only.
+    """Buffers a stream of server-sent events and releases complete events only.
 
-    A target may stop in the middle of an event. What was sent of it would stand before
-    the same event of the target that goes on, and the caller would read both as one.
+    A target may stop in the middle of an event. If the partial event were sent on, the
+    target that resumes the stream would send the same event again, and the caller would
+    read both as one.
 
     Attributes:
-        last_id: Id of the newest event that was given on; None: none yet.
-        count: Whole events that were given on.
+        last_id: Id of the latest complete event; None: none yet.
+        count: Number of complete events so far.
     """
 
     def __init__(self, last_id: str | None = None) -> None:
         self.last_id = last_id
         self.count = 0
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that ``data`` completes."""
-        self._rest += data
+        """Add ``data`` and return the events that it completes."""
+        self._buffer += data
         end = 0
-        for match in _END.finditer(self._rest):
+        for match in _END.finditer(self._buffer):
             end = match.end()
             self.count += 1
-        whole, self._rest = self._rest[:end], self._rest[end:]
+        whole, self._buffer = self._buffer[:end], self._buffer[end:]
         for match in _ID.finditer(whole):
             self.last_id = match.group(1).decode("latin-1").strip()
         return whole
 
-    def restart(self) -> None:
-        """Drop a part of an event; another target begins behind ``last_id``."""
-        self._rest = b""
+    def discard_partial(self) -> None:
+        """Discard a partial event, before another target resumes after ``last_id``."""
+        self._buffer = b""
 
-    def rest(self) -> bytes:
-        """Return what follows the last whole event."""
-        return self._rest
+    def remainder(self) -> bytes:
+        """Return the bytes after the last complete event."""
+        return self._buffer
--- a/packages/node/src/bronzepoint_node/relay/_gate.py
+++ b/packages/node/src/bronzepoint_node/relay/_gate.py
@@ -1,4 +1,4 @@
-"""Whose request it is, and whether a host may call something unknown."""
+"""Authenticates callers, and confirms the catalogue before rejecting unknown keys."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -22,137 +22,141 @@
 from ._host_headers import ORGANISATION_HEADER
 
 CONFIRMED_WITHIN = 1.0
-"""Seconds within which a host must have heard what is in force before it calls a key
-or a route unknown: a newer version may have added it."""
+"""Maximum seconds since the catalogue was confirmed as current for a key or a route to
+be rejected as unknown: a newer version may have added it."""
 CONFIRM_WAIT = 0.8
-"""Seconds for which a request with an unknown key or route waits for that,"""
+"""Maximum seconds that a request with an unknown key or route waits for the catalogue
+to be confirmed."""
 CONFIRM_WAIT_SHARE = 0.25
-"""but no more than this part of its deadline."""
+"""Maximum part of the request's deadline that is spent on this wait."""
 CONFIRM_STEP = 0.03
-"""Seconds between two looks."""
+"""Seconds between two checks during this wait."""
 SIGNATURE_SIZE = 16
-"""Bytes of the signature by which a host vouches for an organisation."""
+"""Size in bytes of the signature of an organisation header."""
 
 
 @dataclass(frozen=True)
-class Admitted:
+class Authenticated:
     """The request may be served.
 
     Attributes:
-        organisation: Who asks; None: the route is open to anybody.
+        organisation: Organisation of the caller; None: no key is required.
     """
 
     organisation: Organisation | None
 
 
 @dataclass(frozen=True)
-class Unknown:
-    """Its key isn't that of any organisation."""
+class UnknownKey:
+    """The key belongs to no organisation."""
 
 
 @dataclass(frozen=True)
-class Unconfirmed:
-    """Its key isn't known here, but this host may lag behind."""
+class UnconfirmedKey:
+    """The key is unknown, but this host's catalogue may be outdated."""
 
 
-Identity = Admitted | Unknown | Unconfirmed
+Authentication = Authenticated | UnknownKey | UnconfirmedKey
 
 
 class Gate:
-    """Looks up callers' API keys, and believes hosts that forward a request.
+    """Authenticates callers by API key, and forwarded requests by signature.
 
     Args:
-        follower: Knows the catalogue in force.
-        secret: Key that all hosts share; they vouch to each other with it.
+        follower: Source of the current catalogue.
+        secret: Key shared by all hosts, which signs organisation headers.
     """
 
     def __init__(self, follower: Follower, secret: bytes) -> None:
         self._follower = follower
         self._secret = secret
 
-    async def identify(
+    async def authenticate(
         self,
         head: CallerHead,
         route: ServedRoute,
         catalogue: ServedCatalogue,
-        wait: float,
-    ) -> Identity:
-        """Tell who a caller is.
+        time_left: float,
+    ) -> Authentication:
+        """Authenticate a caller by its API key.
 
         Args:
-            head: Its request.
-            route: The route that it takes.
-            catalogue: What is in force.
-            wait: Seconds until the request's deadline.
+            head: The request.
+            route: Route that the request matched.
+            catalogue: Current catalogue.
+            time_left: Seconds until the request's deadline.
         """
         if catalogue.organisations is None:
-            return Admitted(None)
+            return Authenticated(None)
         found = catalogue.keys.get(head.key) if head.key is not None else None
         if found is not None or route.is_open:
-            return Admitted(found)
+            return Authenticated(found)
         if head.key is None:
-            return Unknown()
-        return await self._look_again(head, wait)
+            return UnknownKey()
+        return await self._authenticate_once_confirmed(head, time_left)
 
-    async def confirm(self, wait: float) -> bool:
-        """Wait until what is in force has been confirmed; False: it wasn't in time.
+    async def wait_until_confirmed(self, time_left: float) -> bool:
+        """Wait until the catalogue is confirmed as current; False: not in time.
 
-        The follower asks the core all the time, so that unknown keys and routes, how
-        many there may be, cause no question.
+        Sends nothing: the follower polls the core continuously, so any number of
+        unknown keys and routes causes no extra requests to it.
 
         Args:
-            wait: Seconds until the request's deadline.
+            time_left: Seconds until the request's deadline.
         """
-        until = monotonic() + min(CONFIRM_WAIT, CONFIRM_WAIT_SHARE * wait)
+        until = monotonic() + min(CONFIRM_WAIT, CONFIRM_WAIT_SHARE * time_left)
         while self._follower.confirmed_age() > CONFIRMED_WITHIN:
             if monotonic() >= until:
                 return False
             await curio.sleep(CONFIRM_STEP)
         return True
 
-    async def _look_again(self, head: CallerHead, wait: float) -> Identity:
-        """Look up a key once more when what is in force has been confirmed."""
-        if not await self.confirm(wait):
-            return Unconfirmed()
+    async def _authenticate_once_confirmed(
+        self, head: CallerHead, time_left: float
+    ) -> Authentication:
+        """Look up a key again once the catalogue is confirmed as current."""
+        if not await self.wait_until_confirmed(time_left):
+            return UnconfirmedKey()
         found = self._follower.catalogue.keys.get(head.key)
-        return Admitted(found) if found is not None else Unknown()
+        return Authenticated(found) if found is not None else UnknownKey()
 
-    def identify_forwarded(
+    def authenticate_forwarded(
         self,
         head: CallerHead,
         route: ServedRoute,
         catalogue: ServedCatalogue,
         headers: Mapping[str, str],
-    ) -> Identity:
-        """Tell whose request another host has sent on."""
+    ) -> Authentication:
+        """Authenticate a forwarded request by its signed organisation header."""
         text = headers.get(ORGANISATION_HEADER)
         if text is None:
-            return Unknown() if catalogue.needs_key(route) else Admitted(None)
-        told, _, version = text.partition(" ")
+            return UnknownKey() if catalogue.needs_key(route) else Authenticated(None)
+        quoted_name, _, version = text.partition(" ")
         version, _, signature = version.partition(" ")
-        if not compare_digest(signature, self._sign(head, told, version)):
-            return Unknown()
-        name = OrganisationName(unquote(told))
+        if not compare_digest(signature, self._sign(head, quoted_name, version)):
+            return UnknownKey()
+        name = OrganisationName(unquote(quoted_name))
         known = (catalogue.organisations or {}).get(name)
         if known is not None:
-            return Admitted(known)
+            return Authenticated(known)
         if version.isdigit() and int(version) > catalogue.version:
-            # The other host has heard of it before this one.
-            return Admitted(Organisation(name))
-        return Unknown()
+            # The other host has a newer catalogue than this one.
+            return Authenticated(Organisation(name))
+        return UnknownKey()
 
-    def vouch(self, call: Call) -> dict[str, str]:
-        """Return the header that tells another host who asks."""
+    def organisation_header(self, call: Call) -> dict[str, str]:
+        """Return the signed header that names the organisation to another host."""
         if call.organisation is None:
             return {}
-        told, version = quote(call.organisation.name, safe=""), str(call.version)
-        signature = self._sign(call.head, told, version)
-        return {ORGANISATION_HEADER: f"{told} {version} {signature}"}
+        quoted_name, version = quote(call.organisation.name, safe=""), str(call.version)
+        signature = self._sign(call.head, quoted_name, version)
+        return {ORGANISATION_HEADER: f"{quoted_name} {version} {signature}"}
 
     def still_admits(self, call: Call) -> bool:
-        """Tell whether a newer version than that it was read by serves it, too.
+        """Return whether the current catalogue still admits the request.
 
-        A key may be taken away, or go to another organisation, while its request waits.
+        A key may be revoked or moved to another organisation while its request waits.
+        Updates the request's organisation and catalogue version.
         """
         catalogue = self._follower.catalogue
         if catalogue is None or catalogue.version <= call.version:
@@ -162,20 +166,20 @@
             call.organisation = None
             return True
         if call.forwarded:
-            found = self._still_there(call.organisation, catalogue)
+            found = self._current_organisation(call.organisation, catalogue)
         else:
             found = catalogue.keys.get(call.head.key) if call.head.key else None
         call.organisation = found
         return found is not None or not catalogue.needs_key(call.route)
 
-    def _still_there(
+    def _current_organisation(
         self, organisation: Organisation | None, catalogue: ServedCatalogue
     ) -> Organisation | None:
         if organisation is None:
             return None
         return catalogue.organisations.get(organisation.name)
 
-    def _sign(self, head: CallerHead, told: str, version: str) -> str:
-        text = f"{head.request_id}\n{told}\n{version}".encode()
+    def _sign(self, head: CallerHead, quoted_name: str, version: str) -> str:
+        text = f"{head.request_id}\n{quoted_name}\n{version}".encode()
         digest = blake2b(text, key=self._secret, digest_size=SIGNATURE_SIZE)
         return digest.hexdigest()
--- a/packages/node/src/bronzepoint_node/relay/_host_headers.py
+++ b/packages/node/src/bronzepoint_node/relay/_host_headers.py
@@ -1,31 +1,34 @@
-"""Headers that only hosts of this project set, on requests that they pass on."""
+"""Internal headers, which hosts set on requests and answers between each other."""
 
 RAN_HEADER = "bronzepoint-ran"
-"""``no`` says that the refusal is this project's own promise."""
+"""``no`` on a refusal: a host guarantees that the request did not run."""
 FORWARDED_HEADER = "bronzepoint-forwarded"
-"""Region that a request comes from; it is never sent on."""
+"""Region that forwarded the request; such a request is never forwarded again."""
 RUNS_HEADER = "bronzepoint-runs"
-"""Times that the request may have run before, or has by now."""
-MOST_RUNS_HEADER = "bronzepoint-most-runs"
-"""Runs, counted together, up to which a forwarded request may go."""
+"""Number of times that the request may have run so far."""
+MAX_RUNS_HEADER = "bronzepoint-most-runs"
+"""Limit of the total runs of a forwarded request, over all regions."""
 FINGERPRINT_HEADER = "bronzepoint-fingerprint"
-"""Name of what is asked: the other region sees another caller."""
+"""Fingerprint of the request, which the other region can't compute itself: it sees the
+forwarding host as the caller."""
 PERMIT_HEADER = "bronzepoint-trial-permit"
-"""A host of the core has permitted to try it, though it was beside many crashes."""
-HELD_HEADER = "bronzepoint-held"
-"""On an answer: the request is held back, in whatever region."""
+"""A core host has permitted a trial of this request, which is suspected of crashing
+targets."""
+BLOCKED_HEADER = "bronzepoint-held"
+"""On an answer: the request is blocked, in all regions."""
 ORGANISATION_HEADER = "bronzepoint-organisation"
-"""Who asks, the version of the catalogue that says so, and a signature of both."""
+"""Organisation of the caller, version of the catalogue that it was looked up in, and a
+signature of both."""
 HOST_HEADERS = frozenset(
     {
         RAN_HEADER,
         FORWARDED_HEADER,
         RUNS_HEADER,
-        MOST_RUNS_HEADER,
+        MAX_RUNS_HEADER,
         FINGERPRINT_HEADER,
         PERMIT_HEADER,
-        HELD_HEADER,
+        BLOCKED_HEADER,
         ORGANISATION_HEADER,
     }
 )
-"""All of them; a caller that sends one is not believed."""
+"""All internal headers; none is accepted from a caller."""
--- a/packages/node/src/bronzepoint_node/relay/_reception.py
+++ b/packages/node/src/bronzepoint_node/relay/_reception.py
@@ -1,4 +1,4 @@
-"""From a caller's first byte to a request that may be served, or its refusal."""
+"""Reads, checks and charges new requests, and refuses those that can't be served."""
 
 import curio
 
@@ -14,40 +14,40 @@
 from ._codec import CallerHead, Codec
 from ._events import EventSplitter
 from ._final_answers import FinalAnswers
-from ._gate import Admitted, Gate, Identity
+from ._gate import Authenticated, Authentication, Gate
 from ._host_headers import (
     FINGERPRINT_HEADER,
-    MOST_RUNS_HEADER,
+    MAX_RUNS_HEADER,
     PERMIT_HEADER,
     RUNS_HEADER,
 )
 from ._usual_deadlines import UsualDeadlines
 
-CUT_MARGIN = 0.05
-"""Seconds before the caller's own deadline at which its final answer is given."""
+ANSWER_MARGIN = 0.05
+"""Seconds before the caller's deadline at which the final answer is due."""
 DEFAULT_DEADLINE = 30.0
-"""Seconds for a caller that doesn't say how long it waits."""
+"""Deadline in seconds of a request that specifies none."""
 WAIT_STEP = 0.03
-"""Seconds between two looks for a catalogue."""
+"""Seconds between two checks for a catalogue after a start."""
 START_WAIT = 1.5
-"""Seconds for which a request waits for a catalogue after a start,"""
+"""Maximum seconds that a request waits for a catalogue after a start."""
 START_WAIT_SHARE = 0.3
-"""but no more than this part of its deadline."""
+"""Maximum part of a request's deadline that is spent on this wait."""
 LAG_SHARE = 0.3
-"""Part of a route's objective by which a host may lag to take a request: it needs some
-turns of the event loop until its first answer."""
+"""Maximum event loop lag at which a request is accepted, as a part of its route's
+objective: a request needs several iterations of the loop until its first answer."""
 
 
 class Reception:
-    """Reads requests, and turns away what may not be served.
+    """Reads new requests, and refuses those that can't be served.
 
     Args:
-        follower: What is in force.
-        gate: Tells who asks.
-        quotas: What organisations may use.
-        answers: Gives final answers.
-        codec: Words of callers and targets.
-        lag: Whether this host keeps up.
+        follower: Source of the current catalogue.
+        gate: Authenticates callers.
+        quotas: Quotas of the organisations.
+        answers: Sends final answers.
+        codec: Parses request headers.
+        lag: Measured lag of this host's event loop.
     """
 
     def __init__(
@@ -69,23 +69,23 @@
         self._usual = UsualDeadlines()
 
     def refuse_new(self) -> None:
-        """Turn away what comes from now on: this host ends soon."""
+        """Refuse all new requests from now on, as this host is shutting down."""
         self._leaving = True
 
     async def receive(self, exchange: Exchange, forwarded: bool) -> Call | None:
-        """Return a request to be served; None: it has its final answer.
+        """Return a request to serve; None: it has been refused.
 
         Args:
-            exchange: The connection that it came on.
-            forwarded: An entry host of another region sent it.
+            exchange: Connection that the request arrived on.
+            forwarded: True if an entry host of another region forwarded the request.
         """
-        arrived = monotonic()
+        received_at = monotonic()
         try:
             head = self._codec.read_request(exchange.request)
         except BadRequest as exc:
             await exchange.respond(400, {}, f"{exc}\n".encode())
             return None
-        if await self._known_catalogue(head) is None:
+        if await self._wait_for_catalogue(head) is None:
             await self._answers.refuse(exchange, head, RejectReason.NO_CATALOGUE, 0.5)
             return None
         route = await self._find_route(exchange, head)
@@ -95,13 +95,17 @@
             await self._answers.shed(exchange, head)
             return None
         catalogue = self._follower.catalogue
-        identity = await self._identify(exchange, head, route, catalogue, forwarded)
-        if not isinstance(identity, Admitted):
-            await self._answers.turn_away(exchange, head, identity, catalogue.version)
+        authentication = await self._authenticate(
+            exchange, head, route, catalogue, forwarded
+        )
+        if not isinstance(authentication, Authenticated):
+            await self._answers.refuse_unauthenticated(
+                exchange, head, authentication, catalogue.version
+            )
             return None
         body = await exchange.body()
-        call = self._call(exchange, head, route, body, arrived, forwarded)
-        call.organisation, call.version = identity.organisation, catalogue.version
+        call = self._new_call(exchange, head, route, body, received_at, forwarded)
+        call.organisation, call.version = authentication.organisation, catalogue.version
         if self._leaving:
             await self._answers.refuse(exchange, head, RejectReason.LEAVING, 0.1)
             return None
@@ -110,29 +114,29 @@
     async def _find_route(
         self, exchange: Exchange, head: CallerHead
     ) -> ServedRoute | None:
-        """Return the route of a request; None: it has its final answer."""
+        """Return the route of a request; None: it has been refused."""
         path = exchange.request.raw_path.partition("?")[0]
         route = self._follower.catalogue.find_route(head.host, path)
         if route is not None:
             return route
         # A newer version may have added it.
-        is_confirmed = await self._gate.confirm(_deadline(head))
+        is_confirmed = await self._gate.wait_until_confirmed(_deadline(head))
         catalogue = self._follower.catalogue
         route = catalogue.find_route(head.host, path)
         if route is None:
             await exchange.body()
-            await self._answers.say_no_route(
+            await self._answers.answer_no_route(
                 exchange, head, catalogue.version, is_confirmed
             )
         return route
 
-    def release(self, call: Call) -> None:
-        """Give back what a request was charged that certainly didn't run."""
+    def refund(self, call: Call) -> None:
+        """Refund the quota charge of a request that certainly did not run."""
         if call.charge is not None and not call.may_have_run:
             self._quotas.give_back(call.charge)
 
     async def _charge(self, call: Call) -> bool:
-        """Charge a request to its organisation; False: it was refused for its quota."""
+        """Charge a request to its organisation; False: refused as over quota."""
         if call.forwarded:
             return True
         charge = self._quotas.take(call.organisation, call.head.tokens)
@@ -145,11 +149,12 @@
         call.charge = charge
         return True
 
-    async def _known_catalogue(self, head: CallerHead) -> ServedCatalogue | None:
-        """Return what is in force; wait a little for it after a start.
+    async def _wait_for_catalogue(self, head: CallerHead) -> ServedCatalogue | None:
+        """Return the current catalogue, waiting briefly for it after a start.
 
-        After a kill of the whole core it comes back within a second or two. Turned
-        away at once, all callers would come back at the same moment.
+        After a crash of the whole core, the catalogue is available again within one or
+        two seconds. If requests were refused at once instead, all callers would retry
+        at the same moment.
         """
         until = monotonic() + min(START_WAIT, START_WAIT_SHARE * _deadline(head))
         while self._follower.catalogue is None or self._follower.targets is None:
@@ -158,39 +163,41 @@
             await curio.sleep(WAIT_STEP)
         return self._follower.catalogue
 
-    async def _identify(
+    async def _authenticate(
         self,
         exchange: Exchange,
         head: CallerHead,
         route: ServedRoute,
         catalogue: ServedCatalogue,
         forwarded: bool,
-    ) -> Identity:
+    ) -> Authentication:
         if forwarded:
             headers = exchange.request.headers
-            return self._gate.identify_forwarded(head, route, catalogue, headers)
-        return await self._gate.identify(head, route, catalogue, _deadline(head))
+            return self._gate.authenticate_forwarded(head, route, catalogue, headers)
+        return await self._gate.authenticate(head, route, catalogue, _deadline(head))
 
-    def _call(
+    def _new_call(
         self,
         exchange: Exchange,
         head: CallerHead,
         route: ServedRoute,
         body: bytes,
-        arrived: float,
+        received_at: float,
         forwarded: bool,
     ) -> Call:
         deadline = _deadline(head)
-        until = arrived + min(deadline - CUT_MARGIN, route.timeout)
+        deadline_at = received_at + min(deadline - ANSWER_MARGIN, route.timeout)
         events = EventSplitter(head.last_event)
-        call = Call(exchange, head, route, body, arrived, until, forwarded, events)
-        call.spent = self._usual.spent(route, deadline)
-        call.names = _names(call)
+        call = Call(
+            exchange, head, route, body, received_at, deadline_at, forwarded, events
+        )
+        call.prior_wait = self._usual.prior_wait(route, deadline)
+        call.fingerprints = _fingerprints(call)
         if forwarded:
-            # The runs of both hosts count together against the route's bound.
+            # The route's limit applies to the runs of both hosts together.
             headers = exchange.request.headers
-            call.runs = call.told_runs = _count(headers.get(RUNS_HEADER, ""))
-            call.granted_runs = _count(headers.get(MOST_RUNS_HEADER, ""))
+            call.runs = call.reported_runs = _parse_count(headers.get(RUNS_HEADER, ""))
+            call.granted_runs = _parse_count(headers.get(MAX_RUNS_HEADER, ""))
             call.has_permit = PERMIT_HEADER in headers
         return call
 
@@ -199,14 +206,14 @@
     return head.deadline if head.deadline is not None else DEFAULT_DEADLINE
 
 
-def _names(call: Call) -> RequestNames:
+def _fingerprints(call: Call) -> RequestNames:
     request = call.exchange.request
     if call.forwarded:
         return RequestNames.parse(request.headers.get(FINGERPRINT_HEADER, ""))
-    # Callers behind one address are told apart by their keys.
+    # The key distinguishes callers that share an address.
     caller = call.exchange.peer.rpartition(":")[0] + (call.head.key or "")
     return name_request(call.head.host, request.raw_path, caller, call.body)
 
 
-def _count(text: str) -> int:
+def _parse_count(text: str) -> int:
     return int(text) if text.isdigit() else 0
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -1,4 +1,4 @@
-"""The life of one request: read, placed, tried, answered."""
+"""Handles one request from its arrival to its final answer."""
 
 import curio
 
@@ -25,32 +25,34 @@
 from ._sender import Sender
 
 WAIT_SHARE = 0.5
-"""Part of the objective for which a request may wait here for room."""
-LOOK_INTERVAL = 0.1
-"""Seconds between two looks for room in other regions, where only they may serve it."""
-MOST_SENDS = 4
-"""Times that a request is sent on where each time it certainly did not run."""
-STREAM_OVERTIME = 0.2
-"""Seconds past its route's timeout for which a stream that flows may go on."""
+"""Maximum part of the route's objective for which a request may wait here for free
+capacity."""
+PLACEMENT_INTERVAL = 0.1
+"""Seconds between two placement requests while only other regions may serve the request
+and none has free capacity."""
+MAX_SENDS = 4
+"""Maximum sends of a request whose tries all ended with proof that it did not run."""
+STREAM_GRACE = 0.2
+"""Seconds that a stream which has begun may continue after the request's deadline."""
 
 _log = get_logger("relay")
 
 
 class Relay:
-    """Answers callers, and entry hosts of other regions.
+    """Serves requests of callers, and those that other regions forward.
 
     Args:
-        reception: Reads requests, and turns away what may not be served.
-        gate: Tells whether a request may still be served.
-        placer: Chooses between the regions.
-        homes: Finds targets of the own region.
-        allowance: How often requests may be sent again.
-        quarantine: Which requests are held back, or tried apart from others.
-        sender: Sends them there.
-        answers: Gives final answers.
+        reception: Reads new requests, and refuses those that can't be served.
+        gate: Checks whether a waiting request is still admitted.
+        placer: Chooses between the own region and the others.
+        scheduler: Finds targets of the own region.
+        allowance: Limit on the rate of retries.
+        quarantine: Decides which requests are blocked, or need a trial.
+        sender: Sends requests to targets and other regions.
+        answers: Sends final answers.
 
     Attributes:
-        in_progress: Requests that are worked on.
+        in_progress: Number of requests in progress.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         reception: Reception,
         gate: Gate,
         placer: Placer,
-        homes: SchedulerClient,
+        scheduler: SchedulerClient,
         allowance: RetryAllowance,
         quarantine: Quarantine,
         sender: Sender,
@@ -67,7 +69,7 @@
         self._reception = reception
         self._gate = gate
         self._placer = placer
-        self._homes = homes
+        self._scheduler = scheduler
         self._allowance = allowance
         self._quarantine = quarantine
         self._sender = sender
@@ -75,11 +77,11 @@
         self.in_progress = 0
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer a caller."""
+        """Serve a request of a caller."""
         await self._serve(exchange, forwarded=False)
 
     async def serve_forwarded(self, exchange: Exchange) -> None:
-        """Answer an entry host of another region."""
+        """Serve a request forwarded by an entry host of another region."""
         await self._serve(exchange, forwarded=True)
 
     async def _serve(self, exchange: Exchange, forwarded: bool) -> None:
@@ -87,18 +89,18 @@
         if call is None:
             return
         try:
-            await self._answer_while_wanted(call)
+            await self._serve_until_disconnect(call)
         finally:
-            self._reception.release(call)
+            self._reception.refund(call)
 
-    async def _answer_while_wanted(self, call: Call) -> None:
-        """Work on a request until it is answered or its caller has left.
+    async def _serve_until_disconnect(self, call: Call) -> None:
+        """Process a request until it is answered or its caller disconnects.
 
-        The targets' work for a caller that has left is lost, and takes the room of
-        those who wait. It would be noticed as targets that are busy with nothing.
+        Work for a caller that has disconnected would take targets' capacity from
+        waiting requests, and show as targets that are busy without useful output.
         """
         self.in_progress += 1
-        work = await curio.spawn(self._answer_in_time, call)
+        work = await curio.spawn(self._serve_before_deadline, call)
         watch = await curio.spawn(call.exchange.wait_disconnect)
         try:
             async with curio.TaskGroup([work, watch], wait=any):
@@ -109,8 +111,8 @@
             return
         match work.exception:
             case None | curio.TaskCancelled() | Disconnected():
-                self._answers.note(call, "caller_left")
-                raise Disconnected("it closed its connection")
+                self._answers.log_outcome(call, "caller_left")
+                raise Disconnected("the caller closed its connection")
             case exc:
                 _log.error(
                     "answer failed",
@@ -120,13 +122,13 @@
                 )
                 raise exc
 
-    async def _answer_in_time(self, call: Call) -> None:
-        work = await curio.spawn(self._answer, call)
+    async def _serve_before_deadline(self, call: Call) -> None:
+        work = await curio.spawn(self._process, call)
         try:
-            async with curio.ignore_after(max(0.0, call.left)) as limit:
+            async with curio.ignore_after(max(0.0, call.time_left)) as limit:
                 await work.wait()
             if limit.expired and call.exchange.started:
-                async with curio.ignore_after(STREAM_OVERTIME):
+                async with curio.ignore_after(STREAM_GRACE):
                     await work.wait()
         finally:
             await work.cancel()
@@ -134,19 +136,19 @@
             raise work.exception
         if not limit.expired or call.exchange.ended or call.exchange.aborted:
             return
-        await self._answers.say_late(call)
+        await self._answers.answer_late(call)
 
-    async def _answer(self, call: Call) -> None:
+    async def _process(self, call: Call) -> None:
         service = service_of(call.route, call.head.request_id)
         if not call.forwarded:
             self._allowance.note_request(service, monotonic())
         waited_until = monotonic() + WAIT_SHARE * call.route.objective
         while True:
             admission = await self._quarantine.admit(
-                call.names, waited_until, call.has_permit
+                call.fingerprints, waited_until, call.has_permit
             )
             if isinstance(admission, Held):
-                await self._answers.hold(call, admission.retry_after)
+                await self._answers.refuse_blocked(call, admission.retry_after)
                 return
             call.suspect = admission.suspect
             call.has_permit = admission.by_permit
@@ -157,96 +159,99 @@
             finally:
                 if call.suspect:
                     end = _trial_end(call, before)
-                    self._quarantine.end_trial(call.names, end)
-                # A permit is for one try: another one may crash another target.
+                    self._quarantine.end_trial(call.fingerprints, end)
+                # A permit is valid for one try: a second one may crash another target.
                 call.has_permit = False
 
     async def _try_once(self, call: Call, service: str, until: float) -> bool:
-        """Place a request and send it there; False: it is to be tried again."""
-        placement = await self._find_place(call, until)
+        """Place a request and send it there; False: place it again."""
+        placement = await self._find_placement(call, until)
         if isinstance(placement, Rejected):
-            call.notes.append(self._placer.known_room(self._ask(call), monotonic()))
+            call.notes.append(
+                self._placer.known_room(self._placement_request(call), monotonic())
+            )
             await self._answers.reject(call, placement)
             return True
-        asking = call.organisation
+        organisation = call.organisation
         if not self._gate.still_admits(call):
             await self._answers.reject(call, Rejected(RejectReason.UNAUTHENTICATED, 0))
             return True
-        if call.organisation != asking:
-            # Its homes may be others now.
+        if call.organisation != organisation:
+            # The new organisation may be restricted to other regions.
             return False
-        if not call.suspect and self._is_in_doubt(call):
-            # Hosts have heard of a crash while it stood in line.
+        if not call.suspect and self._is_suspect(call):
+            # The request became a suspect while it was queued.
             return False
         if call.arrivals and not self._allowance.take(service, monotonic()):
             await self._answers.give_up(call, call.last_outcome)
             return True
         outcome = await self._sender.send(call, placement, service)
         call.last_outcome = outcome
-        return await self._settled(call, outcome)
+        return await self._finish(call, outcome)
 
-    def _is_in_doubt(self, call: Call) -> bool:
-        return self._quarantine.standing(call.names) is not Standing.CLEAR
+    def _is_suspect(self, call: Call) -> bool:
+        return self._quarantine.standing(call.fingerprints) is not Standing.CLEAR
 
-    async def _find_place(self, call: Call, until: float) -> Placement:
-        """Return a place, or the refusal where there is none by ``until``."""
+    async def _find_placement(self, call: Call, until: float) -> Placement:
+        """Return a placement, or a rejection if none is found by ``until``."""
         wait = 0.0
         while True:
-            ask = self._ask(call)
-            call.looks += 1
+            request = self._placement_request(call)
+            call.placement_requests += 1
             found = NoHome()
-            if self._placer.may_stay(ask):
-                found = await self._homes.find(self._placer.home_ask(ask), wait)
-            placement = self._placer.decide(ask, found, monotonic())
+            if self._placer.may_stay(request):
+                found = await self._scheduler.find(self._placer.home_ask(request), wait)
+            placement = self._placer.decide(request, found, monotonic())
             wait = until - monotonic()
-            if wait <= 0 or not self._waits(call, placement):
+            if wait <= 0 or not self._may_wait(call, placement):
                 return placement
-            if not self._placer.may_stay(ask):
-                await curio.sleep(min(wait, LOOK_INTERVAL))
+            if not self._placer.may_stay(request):
+                await curio.sleep(min(wait, PLACEMENT_INTERVAL))
 
-    def _waits(self, call: Call, placement: Placement) -> bool:
-        """Tell whether a request may wait here until there is room."""
+    def _may_wait(self, call: Call, placement: Placement) -> bool:
+        """Return whether a request may wait here for free capacity."""
         if call.forwarded or not isinstance(placement, Rejected):
             return False
         return not placement.final
 
-    def _ask(self, call: Call) -> PlacementAsk:
+    def _placement_request(self, call: Call) -> PlacementAsk:
         return PlacementAsk(
             call.head.request_id,
             call.route,
             call.head.prompt,
             call.forwarded,
-            call.left,
+            call.time_left,
             call.tried,
             call.tried_hosts,
             call.rank(monotonic()),
-            call.arrived,
+            call.received_at,
             len(call.body),
             call.suspect,
             call.organisation,
         )
 
-    async def _settled(self, call: Call, outcome: TryOutcome) -> bool:
-        """Answer the caller if the outcome is final; False: it is tried again."""
+    async def _finish(self, call: Call, outcome: TryOutcome) -> bool:
+        """Answer the caller if the outcome is final; False: try again."""
         match outcome:
             case Answered(streamed=True):
-                self._answers.note(call, "answered")
+                self._answers.log_outcome(call, "answered")
                 return True
             case Answered() if call.exchange.started:
-                # A part of a stream was passed on: no other answer can follow it.
+                # The caller has received a part of a stream, so that only its
+                # continuation may follow, no separate answer.
                 if call.may_repeat:
                     return False
             case Answered(status=status, headers=headers, body=body):
                 if status >= 500 and call.may_repeat:
                     return False
-                self._answers.note(call, f"answered_{status}")
+                self._answers.log_outcome(call, f"answered_{status}")
                 await call.exchange.respond(status, call.answer_headers(headers), body)
                 return True
             case NotRun(reason="held", retry_after=retry_after):
-                await self._answers.hold(call, retry_after)
+                await self._answers.refuse_blocked(call, retry_after)
                 return True
             case NotRun():
-                if call.sends < MOST_SENDS:
+                if call.sends < MAX_SENDS:
                     return False
             case MayHaveRun():
                 if call.may_repeat:
@@ -256,13 +261,14 @@
 
 
 def _trial_end(call: Call, before: Progress) -> TrialEnd:
-    """Return how far the try of a suspect got."""
+    """Return how the trial of a suspect request ended."""
     now = call.progress()
     if not call.has_permit:
         return TrialEnd.USED
     if now.sends == before.sends:
         return TrialEnd.NOT_SENT
-    # A byte has left of a try that was broken off, and another host may have sent it.
+    # An interrupted try may have sent a part of the request, and a host that the
+    # request was forwarded to may have sent it to a target.
     if call.written or now.runs > before.runs or now.hosts > before.hosts:
         return TrialEnd.USED
     if now.arrivals > before.arrivals:
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -1,4 +1,4 @@
-"""Sending a request on: to a target, or to another region."""
+"""Sends requests to targets and to other regions."""
 
 from collections.abc import Callable, Coroutine
 
@@ -27,48 +27,52 @@
 from ._host_headers import (
     FINGERPRINT_HEADER,
     FORWARDED_HEADER,
-    MOST_RUNS_HEADER,
+    MAX_RUNS_HEADER,
     PERMIT_HEADER,
     RUNS_HEADER,
 )
 from ._try import Destination, Try
 
-PATIENCE = 1.0
-"""Seconds for which the head of an answer is waited for where it may run twice,"""
-PATIENCE_BY_DELAY = 2.5
-"""besides this multiple of what was expected. A busy engine is not left too soon:
-what it has read of a prompt would be lost, and read again elsewhere."""
-PATIENCE_SHARE = 0.6
-"""Part of the time left that is waited for at most."""
-LOOK_INTERVAL = 0.15
-"""Seconds between two looks whether a target has fallen silent."""
-KEPT_REPEATABLE = 3.0
-"""Seconds for which a connection to a target may have been idle, for a request that may
-run twice,"""
-KEPT_ONCE = 0.8
-"""and for one that may not: a target that closes it just then loses the request."""
-KEPT_BETWEEN_HOSTS = 20.0
-"""Seconds for a connection to one of our hosts, which closes it after 60."""
+BASE_MAX_WAIT = 1.0
+"""Base, in seconds, of the longest wait for the head of an answer, for a request that
+may be sent again."""
+MAX_WAIT_BY_DELAY = 2.5
+"""Multiple of the expected delay that is added to this base. A busy engine is not given
+up too soon: the part of the prompt that it has processed would be lost, and processed
+again elsewhere."""
+MAX_WAIT_SHARE = 0.6
+"""Maximum part of the time until the deadline that this wait may take."""
+CHECK_INTERVAL = 0.15
+"""Seconds between two checks whether the target still responds."""
+MAX_IDLE_REPEATABLE = 3.0
+"""Maximum seconds that a connection to a target may have been idle to be reused for a
+request that may run twice."""
+MAX_IDLE_ONCE = 0.8
+"""Maximum idle seconds of a reused connection for a request that may not run twice: if
+the target closes the connection at that moment, the request is lost."""
+MAX_IDLE_BETWEEN_HOSTS = 20.0
+"""Maximum idle seconds of a reused connection to another host, which closes idle
+connections after 60 seconds."""
 DEADLINE_MARGIN = 0.1
-"""Seconds past a request's deadline for which its answer is waited for; the deadline
-ends the wait."""
-RESUME_STALL = 1.0
-"""Seconds without an event after which a stream goes on at another target."""
+"""Seconds past a request's deadline at which a wait for its answer times out, so that
+the deadline always ends the wait first."""
+RESUME_MAX_WAIT = 1.0
+"""Seconds without an event after which a stream is resumed at another target."""
 
 
 class Sender:
-    """Tries one place for a request, and learns from how that ends.
+    """Sends a request to its placement, and records the outcome.
 
     Args:
         region: Region of this host.
         table: Targets of the region.
-        placer: Learns durations and lost hosts.
-        cold: Learns what cold targets were sent.
-        watch: Learns which requests break, and tells whether a target has crashed.
+        placer: Records latencies and unreachable hosts.
+        cold: Records requests sent to cold targets.
+        watch: Records failed requests, and detects target crashes.
         client: Connections to targets.
         hosts: Connections to entry hosts of other regions.
-        codec: Words of callers and targets.
-        gate: Vouches to other hosts for who asks.
+        codec: Builds request headers and classifies answers.
+        gate: Signs the organisation header of forwarded requests.
         metrics: Counters.
     """
 
@@ -99,10 +103,15 @@
     async def send(
         self, call: Call, placement: AtHome | Elsewhere, service: str
     ) -> TryOutcome:
-        """Send a request where it was placed, and pass on what comes.
+        """Send a request to its placement, and stream the answer to the caller.
+
+        Args:
+            call: The request.
+            placement: Target, or host of another region, to send it to.
+            service: Service that the request uses.
 
         Raises:
-            Disconnected: The caller left.
+            Disconnected: The caller closed its connection.
         """
         call.exchange.check_connected()
         call.sends += 1
@@ -120,18 +129,18 @@
             call.arrivals += outcome.by_target
         call.notes[-1] += f" -> {outcome.reason}"
         if isinstance(outcome, MayHaveRun) and isinstance(placement, AtHome):
-            await self._look_whether_ended(call, placement.target.info)
+            await self._check_whether_ended(call, placement.target.info)
         self._metrics.incr(f"try.{outcome.reason}")
         return outcome
 
-    async def _look_whether_ended(self, call: Call, target: TargetInfo) -> None:
-        """Count a run no more whose target is gone, where the bound is reached."""
+    async def _check_whether_ended(self, call: Call, target: TargetInfo) -> None:
+        """Exclude a run from a reached limit if its target has ended."""
         if not call.route.repeatable:
-            # Nothing follows that its caller would have to wait for.
+            # No retry depends on the result, so the caller needn't wait for it.
             await curio.spawn(self._watch.look, target, daemon=True)
             return
         ended = await self._watch.look(target)
-        if ended and call.counted_runs >= call.most_runs:
+        if ended and call.counted_runs >= call.max_runs:
             call.ended_runs += 1
             call.notes[-1] += ", ended"
             self._metrics.incr("try.target_ended")
@@ -147,21 +156,21 @@
         if is_silent(target, now):
             target.trial_at = now
         call.tried.add(name)
-        known_ms = round(placement.known_age * 1000)
-        call.known_ms.append(known_ms)
-        self._metrics.timing("schedule.known_ms", known_ms)
+        staleness_ms = round(placement.known_age * 1000)
+        call.staleness_ms.append(staleness_ms)
+        self._metrics.timing("schedule.known_ms", staleness_ms)
         call.notes.append(f"{name}@{target.info.address}: {placement.reason}")
         run_id = f"{call.head.request_id}.{call.sends}"
         speeds, rank = self._placer.speeds, call.rank(now)
         prompt, source = call.head.prompt, placement.fetch_from
         uncached = target.begin(run_id, prompt, rank, now, placement.cached_tokens)
         watched = self._watch.begin(
-            target.info, call.names, call.suspect, placement.quiet
+            target.info, call.fingerprints, call.suspect, placement.quiet
         )
         if call.suspect:
             target.trials.add(watched)
 
-        def progressed(events: int, seconds: float) -> None:
+        def on_progress(events: int, seconds: float) -> None:
             self._watch.note_event(target.info, watched)
             run = target.load.runs.get(run_id)
             if run is None:
@@ -171,33 +180,33 @@
                 return
             first = monotonic()
             target.load.note_started(run_id, first)
-            spent = round((first - now) * 1000)
+            elapsed_ms = round((first - now) * 1000)
             before = round(placement.tokens_before)
-            measured = FirstToken(name, uncached, spent, before)
+            measured = FirstToken(name, uncached, elapsed_ms, before)
             speeds.note_first_token(service, measured, first)
 
         headers = self._codec.target_headers(
             call.head,
-            call.left,
+            call.time_left,
             name,
             rank,
             call.events.last_id,
             Copies(fetch_from=source.info.address if source else ""),
             call.organisation.name if call.organisation is not None else None,
         )
-        where = Destination(
+        destination = Destination(
             target.info.address,
             headers,
-            self._patience(call, placement.delay),
-            self._stall(call),
-            KEPT_REPEATABLE if call.route.repeatable else KEPT_ONCE,
+            self._head_max_wait(call, placement.delay),
+            self._piece_max_wait(call),
+            MAX_IDLE_REPEATABLE if call.route.repeatable else MAX_IDLE_ONCE,
         )
         result = TryResult.cancelled
         outcome: TryOutcome | None = None
         try:
-            attempt = Try(self._client, self._codec, call, progressed)
-            outcome = await self._while_answering(
-                call, attempt.run(where), lambda: is_silent(target, monotonic())
+            attempt = Try(self._client, self._codec, call, on_progress)
+            outcome = await self._run_while_reachable(
+                call, attempt.run(destination), lambda: is_silent(target, monotonic())
             )
             result = _result_of(outcome)
         finally:
@@ -205,11 +214,11 @@
             target.trials.discard(watched)
             seconds = monotonic() - now
             self._table.note_result(target, result, seconds, monotonic())
-            self._note_end(target.info, watched, outcome)
+            self._record_end(target.info, watched, outcome)
         match outcome:
             case NotRun(reason="replaced"):
-                # The list lags: without this, every request until the next reading
-                # would be sent there and turned away.
+                # The target list is outdated. Until its next update every request
+                # placed on this target would be sent there and refused.
                 target.note_replaced()
                 self._watch.note_replaced(target.info)
             case NotRun(reason="connect_failed"):
@@ -218,7 +227,7 @@
             speeds.note_hold(Hold(service, round(seconds * 1000)))
         return outcome
 
-    def _note_end(
+    def _record_end(
         self, target: TargetInfo, run: WatchedRun, outcome: TryOutcome | None
     ) -> None:
         match outcome:
@@ -238,58 +247,62 @@
         regions = self._placer.regions
         regions.note_forwarded(placement.region, service, run_id, monotonic())
         headers = self._codec.target_headers(
-            call.head, call.left, "", None, call.events.last_id
+            call.head, call.time_left, "", None, call.events.last_id
         )
-        headers |= self._gate.vouch(call)
+        headers |= self._gate.organisation_header(call)
         headers[FORWARDED_HEADER] = self._region
-        headers[FINGERPRINT_HEADER] = str(call.names)
+        headers[FINGERPRINT_HEADER] = str(call.fingerprints)
         if call.has_permit:
             headers[PERMIT_HEADER] = "yes"
         headers[RUNS_HEADER] = str(call.counted_runs)
-        # Where its answer is lost, this host must know how often it ran there at most.
-        headers[MOST_RUNS_HEADER] = str(call.counted_runs + 1)
-        where = Destination(
+        # Limits the runs there to one: if the answer is lost, this host must know how
+        # often the request can have run in the other region.
+        headers[MAX_RUNS_HEADER] = str(call.counted_runs + 1)
+        destination = Destination(
             placement.address,
             headers,
-            self._patience(call, placement.delay),
-            self._stall(call),
-            KEPT_BETWEEN_HOSTS,
+            self._head_max_wait(call, placement.delay),
+            self._piece_max_wait(call),
+            MAX_IDLE_BETWEEN_HOSTS,
         )
-        attempt = Try(self._hosts, self._codec, call, _nothing)
+        attempt = Try(self._hosts, self._codec, call, _ignore_progress)
         outcome: TryOutcome | None = None
         try:
-            outcome = await self._while_answering(
-                call, attempt.run(where), lambda: not regions.lives(placement.host)
+            outcome = await self._run_while_reachable(
+                call,
+                attempt.run(destination),
+                lambda: not regions.lives(placement.host),
             )
         finally:
-            # One that was refused goes on to count: that region is full.
+            # A refused request still counts as in progress there: the region is full.
             if not isinstance(outcome, NotRun):
                 regions.note_returned(placement.region, service, run_id)
         match outcome:
             case NotRun(reason="connect_failed"):
                 regions.note_lost_host(placement.host, monotonic())
             case Answered(headers=answered):
-                _count_runs(call, answered)
+                _update_runs(call, answered)
         return outcome
 
-    async def _while_answering(
-        self, call: Call, run: Coroutine, lost: Callable[[], bool]
+    async def _run_while_reachable(
+        self, call: Call, run: Coroutine, is_lost: Callable[[], bool]
     ) -> TryOutcome:
-        """Return how a try ends; give it up where its target is lost meanwhile.
+        """Return the outcome of a try; end it early if its target becomes unreachable.
 
-        A target behind a cut says nothing, and its connections look open: the request
-        would wait for its deadline, though another target could still answer in time.
+        Connections to a target in another network partition look open, but carry
+        nothing: the request would wait until its deadline, although another target
+        could still answer in time.
         """
-        if not call.may_repeat_after:
+        if not call.may_repeat_after_this:
             return await run
         work = await curio.spawn(run)
         try:
             while True:
-                async with curio.ignore_after(LOOK_INTERVAL):
+                async with curio.ignore_after(CHECK_INTERVAL):
                     await work.wait()
                 if work.terminated:
                     break
-                if lost() and not call.is_flowing(monotonic(), LOOK_INTERVAL):
+                if is_lost() and not call.has_recent_event(monotonic(), CHECK_INTERVAL):
                     return MayHaveRun("lost")
         finally:
             await work.cancel()
@@ -297,27 +310,27 @@
             raise work.exception
         return work.result
 
-    def _patience(self, call: Call, delay: float) -> float:
-        """Return how long the head of an answer is waited for."""
-        if call.may_repeat_after:
-            patience = PATIENCE + PATIENCE_BY_DELAY * delay
-            return max(0.2, min(patience, PATIENCE_SHARE * call.left))
-        return _past_deadline(call)
+    def _head_max_wait(self, call: Call, delay: float) -> float:
+        """Return the longest wait for the head of an answer, in seconds."""
+        if call.may_repeat_after_this:
+            max_wait = BASE_MAX_WAIT + MAX_WAIT_BY_DELAY * delay
+            return max(0.2, min(max_wait, MAX_WAIT_SHARE * call.time_left))
+        return _wait_past_deadline(call)
 
-    def _stall(self, call: Call) -> float:
-        """Return how long the next piece of an answer is waited for."""
-        if call.route.resumable and call.may_repeat_after:
-            return RESUME_STALL
-        return _past_deadline(call)
+    def _piece_max_wait(self, call: Call) -> float:
+        """Return the longest wait for the next piece of an answer, in seconds."""
+        if call.route.resumable and call.may_repeat_after_this:
+            return RESUME_MAX_WAIT
+        return _wait_past_deadline(call)
 
 
-def _past_deadline(call: Call) -> float:
-    """Return a time to wait that the request's own deadline comes before.
+def _wait_past_deadline(call: Call) -> float:
+    """Return a timeout in seconds that ends after the request's deadline.
 
-    Were both to end at one moment, the caller would now be told that its time is over,
-    now that its target gave no whole answer.
+    If both ended at the same moment, the caller would receive either 504 for the
+    deadline or 502 for an incomplete answer, depending on which timer fired first.
     """
-    return max(0.0, call.left) + DEADLINE_MARGIN
+    return max(0.0, call.time_left) + DEADLINE_MARGIN
 
 
 def _result_of(outcome: TryOutcome) -> TryResult:
@@ -334,15 +347,17 @@
             return TryResult.cut
 
 
-def _count_runs(call: Call, headers: dict[str, str]) -> None:
-    """Take over how often a request ran in another region, but for the last time.
+def _update_runs(call: Call, headers: dict[str, str]) -> None:
+    """Update the number of runs from another region's answer, without the last run.
 
-    Counted as one, two failed runs there would let a third follow here.
+    The header contains all runs so far; `Sender.send` adds the last one. If all runs in
+    the other region counted as one, a request that failed twice there could exceed its
+    limit here.
     """
     runs = headers.pop(RUNS_HEADER, "")
     if runs.isdigit():
         call.runs = max(call.runs, int(runs) - 1)
 
 
-def _nothing(events: int, seconds: float) -> None:
-    """Take no measure of what other regions do."""
+def _ignore_progress(events: int, seconds: float) -> None:
+    """Ignore the progress of a forwarded request: the other region measures it."""
--- a/packages/node/src/bronzepoint_node/relay/_try.py
+++ b/packages/node/src/bronzepoint_node/relay/_try.py
@@ -1,4 +1,4 @@
-"""One try: a request sent to a target or to another region, and its answer."""
+"""Sends a request once, to a target or to another region, and relays the answer."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,37 +17,37 @@
 
 from ._call import Answered, Call, MayHaveRun, NotRun, TryOutcome
 from ._codec import Codec, TargetVerdict
-from ._host_headers import HELD_HEADER, RAN_HEADER
+from ._host_headers import BLOCKED_HEADER, RAN_HEADER
 
 
 @dataclass(frozen=True)
 class Destination:
-    """Where a try goes.
+    """Address, headers and timeouts of one try.
 
     Attributes:
         address: ``host:port``.
         headers: Headers of the request.
-        patience: Seconds to wait for the head of the answer.
-        stall: Seconds to wait for each further piece.
-        max_idle: Seconds for which the connection may have been idle.
+        head_max_wait: Longest wait for the head of the answer, in seconds.
+        piece_max_wait: Longest wait for each further piece of it, in seconds.
+        max_idle: Maximum seconds that a reused connection may have been idle.
     """
 
     address: str
     headers: dict[str, str]
-    patience: float
-    stall: float
+    head_max_wait: float
+    piece_max_wait: float
     max_idle: float
 
 
 class Try:
-    """Sends one request and passes its answer on.
+    """Sends a request once and relays the answer.
 
     Args:
-        client: Connections to targets and hosts.
-        codec: Words of callers and targets.
+        client: Connections to targets or hosts.
+        codec: Classifies answers and filters their headers.
         call: The request.
-        progressed: Called with the number of events that have come and the seconds
-            since the one before; with none at the end of an answer without events.
+        on_progress: Called with the number of new events and the seconds since the
+            previous ones; with zeros at the end of an answer that isn't streamed.
     """
 
     def __init__(
@@ -55,32 +55,36 @@
         client: HttpClient,
         codec: Codec,
         call: Call,
-        progressed: Callable[[int, float], None],
+        on_progress: Callable[[int, float], None],
     ) -> None:
         self._client = client
         self._codec = codec
         self._call = call
-        self._progressed = progressed
+        self._on_progress = on_progress
 
-    async def run(self, where: Destination) -> TryOutcome:
-        """Return how the try ended; raises Disconnected where the caller left."""
+    async def run(self, destination: Destination) -> TryOutcome:
+        """Send the request and return the outcome.
+
+        Raises:
+            Disconnected: The caller closed its connection.
+        """
         call = self._call
         request = call.exchange.request
         try:
             async with self._client.stream(
-                where.address,
+                destination.address,
                 request.method,
                 request.raw_path,
-                where.headers,
+                destination.headers,
                 call.body,
-                where.patience,
-                before_send=self._begin_to_write,
+                destination.head_max_wait,
+                before_send=self._before_send,
                 unframed=True,
-                max_idle=where.max_idle,
-                accept=self._is_own,
+                max_idle=destination.max_idle,
+                accept=self._is_own_answer,
             ) as answer:
-                answer.timeout = where.stall
-                return await self._take(answer)
+                answer.timeout = destination.piece_max_wait
+                return await self._relay_answer(answer)
         except ConnectFailed:
             return NotRun("connect_failed")
         except NotSent as exc:
@@ -92,22 +96,23 @@
         except AnswerMalformed:
             return MayHaveRun("malformed")
 
-    def _begin_to_write(self) -> None:
-        """Count the request as written, unless its caller has left.
+    def _before_send(self) -> None:
+        """Mark the request as written, unless its caller has disconnected.
 
         Raises:
-            Disconnected: It has; connecting takes time, above all on a host that lags.
+            Disconnected: The caller closed its connection while this host connected to
+                the target, which takes time, above all on a lagging host.
         """
         self._call.exchange.check_connected()
-        self._call.note_written()
+        self._call.record_written()
 
-    def _is_own(self, status: int, headers: dict[str, str]) -> bool:
+    def _is_own_answer(self, status: int, headers: dict[str, str]) -> bool:
         verdict = self._codec.judge(self._call.head, status, headers)
         return verdict is not TargetVerdict.OTHER_REQUEST
 
-    async def _take(self, answer: ClientAnswer) -> TryOutcome:
+    async def _relay_answer(self, answer: ClientAnswer) -> TryOutcome:
         call = self._call
-        if answer.headers.get(RAN_HEADER) == "no" and HELD_HEADER in answer.headers:
+        if answer.headers.get(RAN_HEADER) == "no" and BLOCKED_HEADER in answer.headers:
             return NotRun("held", retry_after=_retry_after(answer.headers))
         if answer.headers.get(RAN_HEADER) == "no":
             return NotRun("region_refused", retry_after=_retry_after(answer.headers))
@@ -119,17 +124,17 @@
             case TargetVerdict.OTHER_REQUEST:
                 return MayHaveRun("other_answer")
         if call.route.kind is RouteKind.STREAM and answer.status // 100 == 2:
-            return await self._pass_on(answer)
+            return await self._stream_events(answer)
         parts = [piece async for piece in answer.chunks()]
-        self._progressed(0, 0.0)
+        self._on_progress(0, 0.0)
         headers = self._codec.answer_headers(answer.headers)
         return Answered(answer.status, headers, b"".join(parts))
 
-    async def _pass_on(self, answer: ClientAnswer) -> Answered:
-        """Give each whole event on as it comes."""
+    async def _stream_events(self, answer: ClientAnswer) -> Answered:
+        """Send each complete event to the caller as it arrives."""
         call = self._call
         exchange = call.exchange
-        call.events.restart()
+        call.events.discard_partial()
         headers = self._codec.answer_headers(answer.headers)
         last = monotonic()
         async for piece in answer.chunks():
@@ -138,15 +143,15 @@
             if not events:
                 continue
             now = monotonic()
-            call.note_events(now)
-            self._progressed(call.events.count - before, now - last)
+            call.record_events(now)
+            self._on_progress(call.events.count - before, now - last)
             last = now
             if not exchange.started:
                 await exchange.start_stream(answer.status, headers)
             await exchange.send(events)
         if not exchange.started:
             await exchange.start_stream(answer.status, headers)
-        await exchange.send(call.events.rest())
+        await exchange.send(call.events.remainder())
         await exchange.end()
         return Answered(answer.status, headers, b"", streamed=True)
 
--- a/packages/node/src/bronzepoint_node/relay/_usual_deadlines.py
+++ b/packages/node/src/bronzepoint_node/relay/_usual_deadlines.py
@@ -1,42 +1,43 @@
-"""How much of its time a request has used up before it came here."""
+"""Estimates how long a caller had already waited before its request arrived."""
 
 from collections import deque
 
 from bronzepoint_node.fleet import ServedRoute
 
-KEPT = 100
-"""Newest deadlines of a route that are compared."""
+MAX_DEADLINES = 100
+"""Number of a route's most recent deadlines that are kept for comparison."""
 USUAL_SHARE = 0.1
-"""Share of them from which on one is usual: callers that begin name one of a few, and
-those that come again each name what is left to them."""
+"""Share of the kept deadlines above which a value counts as usual: new requests use
+one of a few values, whereas each retry specifies the time it has left."""
 STEP = 0.02
-"""Seconds within which two deadlines count as the same."""
+"""Width, in seconds, of the steps that deadlines are rounded to for comparison."""
 
 
 class UsualDeadlines:
-    """Remembers how long the callers of each route wait when they begin.
+    """Tracks the deadlines of each route, to tell retries from new requests.
 
-    A caller that comes again, after a refusal or from a host that was killed, names
-    what is left of its time. Its answer can't be in time any more, but that of one that
-    has just begun can.
+    A caller that retries, after a refusal or the crash of a host, specifies the time it
+    has left as the deadline. Its answer can no longer meet the objective, whereas that
+    of a new request can.
     """
 
     def __init__(self) -> None:
         self._newest: dict[str, deque[int]] = {}
 
-    def spent(self, route: ServedRoute, deadline: float) -> float:
-        """Return the seconds that a request has used before.
+    def prior_wait(self, route: ServedRoute, deadline: float) -> float:
+        """Return the estimated seconds that the caller of a request has waited before.
 
         Args:
-            route: Its route.
-            deadline: Seconds for which its caller waits from now on.
+            route: Route of the request.
+            deadline: Seconds for which the caller waits from now on.
         """
         steps = round(deadline / STEP)
-        newest = self._newest.setdefault(route.name, deque(maxlen=KEPT))
+        newest = self._newest.setdefault(route.name, deque(maxlen=MAX_DEADLINES))
         newest.append(steps)
-        least = USUAL_SHARE * len(newest)
-        if len(newest) > 1 / USUAL_SHARE and newest.count(steps) > least:
+        min_count = USUAL_SHARE * len(newest)
+        if len(newest) > 1 / USUAL_SHARE and newest.count(steps) > min_count:
             return 0.0
-        # Not the longest of all: one odd caller would make all others look late.
-        longer = sorted(newest)[-max(1, int(least))]
+        # The longest value is not used: a single unusual caller would make all others
+        # look late.
+        longer = sorted(newest)[-max(1, int(min_count))]
         return max(0.0, (longer - steps) * STEP)
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -1,4 +1,4 @@
-"""Who asks: API keys, organisations, and what targets and other hosts hear of them."""
+"""Authentication by API key, and organisations as targets and other hosts see them."""
 
 import json
 import unittest
@@ -14,7 +14,7 @@
 from bronzepoint_node.quarantine import name_request
 from bronzepoint_node.relay import CallerHead, Gate
 from bronzepoint_node.relay._call import LATE_RANKS, Call
-from bronzepoint_node.relay._gate import Admitted, Unconfirmed, Unknown
+from bronzepoint_node.relay._gate import Authenticated, UnconfirmedKey, UnknownKey
 from bronzepoint_node.relay._host_headers import HOST_HEADERS, ORGANISATION_HEADER
 from bronzepoint_platform._codec import PlatformCodec
 from bronzepoint_platform._manifest import ManifestInvalid, read_manifest
@@ -24,15 +24,16 @@
 KEYS = {"acme": ["key-a1", "key-a2"], "bolt": ["key-b"]}
 ROUTE = ServedRoute("r", "h", "/", RouteKind.IDEMPOTENT, 4.0, 1.0, 2, (), 2)
 CODEC = PlatformCodec()
-BOTH_PATIENCE = 60.0
-"""Seconds in which the quota has refilled by several requests."""
+BOTH_MAX_WAIT = 60.0
+"""Maximum seconds to wait until requests have been both served and refused; the quota
+refills by several requests in this time."""
 
 
 def tenants(keys=None, **changes):
     keys = KEYS if keys is None else keys
     return [
-        {"name": name, "api_keys": held, "priority": 0, **changes}
-        for name, held in keys.items()
+        {"name": name, "api_keys": api_keys, "priority": 0, **changes}
+        for name, api_keys in keys.items()
     ]
 
 
@@ -50,7 +51,7 @@
 
 
 class Follower:
-    """What is in force, and how long ago that was confirmed."""
+    """A catalogue, and the seconds since it was confirmed as current."""
 
     def __init__(self, catalogue, age=0.1):
         self.catalogue = catalogue
@@ -60,12 +61,12 @@
         return self.age
 
 
-def identify(gate, *arguments):
-    return curio.run(gate.identify, *arguments)
+def authenticate(gate, *arguments):
+    return curio.run(gate.authenticate, *arguments)
 
 
-def call(asked, organisation, version, forwarded=False):
-    made = Call(None, asked, ROUTE, b"", monotonic(), 0.0, forwarded, None)
+def call(caller_head, organisation, version, forwarded=False):
+    made = Call(None, caller_head, ROUTE, b"", monotonic(), 0.0, forwarded, None)
     made.organisation, made.version = organisation, version
     return made
 
@@ -82,53 +83,57 @@
         ("schl\u00fcssel", None),
         (None, None),
     )
-    def test_key_names_its_organisation(self, key, name):
+    def test_key_identifies_its_organisation(self, key, name):
         catalogue = read()
-        found = identify(
+        result = authenticate(
             Gate(Follower(catalogue), SECRET), head(key), ROUTE, catalogue, 4
         )
         if name is None:
-            self.assertEqual(found, Unknown())
+            self.assertEqual(result, UnknownKey())
         else:
-            self.assertEqual(found.organisation.name, name)
+            self.assertEqual(result.organisation.name, name)
 
-    def test_catalogue_without_organisations_asks_for_no_key(self):
+    def test_catalogue_without_organisations_requires_no_key(self):
         catalogue = read_manifest(json.dumps(manifest(1)).encode())
-        found = identify(Gate(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4)
-        self.assertEqual(found, Admitted(None))
+        result = authenticate(
+            Gate(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
+        )
+        self.assertEqual(result, Authenticated(None))
 
-    def test_catalogue_whose_last_organisation_went_serves_nobody(self):
+    def test_catalogue_with_no_organisation_left_admits_no_caller(self):
         catalogue = read(1, {})
-        found = identify(Gate(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4)
-        self.assertEqual(found, Unknown())
+        result = authenticate(
+            Gate(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
+        )
+        self.assertEqual(result, UnknownKey())
 
     @params((None, None), ("key-x", None), ("key-b", "bolt"))
-    def test_open_route_serves_anybody(self, key, name):
+    def test_open_route_admits_every_caller(self, key, name):
         catalogue = read()
         route = ServedRoute(
             "r", "h", "/", RouteKind.IDEMPOTENT, 4.0, 1.0, 2, (), 2, is_open=True
         )
-        found = identify(
+        result = authenticate(
             Gate(Follower(catalogue), SECRET), head(key), route, catalogue, 4
         )
-        self.assertEqual(found.organisation and found.organisation.name, name)
+        self.assertEqual(result.organisation and result.organisation.name, name)
 
-    def test_host_that_lags_does_not_call_a_key_unknown(self):
+    def test_lagging_host_does_not_reject_a_key_as_unknown(self):
         """Guards against 401 for a key that a newer version has added."""
         catalogue = read()
         gate = Gate(Follower(catalogue, age=9.0), SECRET)
         self.assertEqual(
-            identify(gate, head("key-new"), ROUTE, catalogue, 0.4), Unconfirmed()
+            authenticate(gate, head("key-new"), ROUTE, catalogue, 0.4), UnconfirmedKey()
         )
 
     def test_key_of_a_version_that_arrives_meanwhile_is_known(self):
-        """Guards against 401 where the newer version comes within the wait."""
+        """Guards against 401 if the newer version arrives within the wait."""
         follower = Follower(read(), age=9.0)
         gate = Gate(follower, SECRET)
 
         async def main():
             task = await curio.spawn(
-                gate.identify, head("key-new"), ROUTE, follower.catalogue, 8.0
+                gate.authenticate, head("key-new"), ROUTE, follower.catalogue, 8.0
             )
             await curio.sleep(0.05)
             follower.catalogue = read(2, {"acme": ["key-new"]})
@@ -140,7 +145,7 @@
 
 class TestNewerVersions(unittest.TestCase):
     @params(
-        # keys in force now; whether the request may go on, and for whom
+        # current keys, whether the request is still admitted, for which organisation
         ({"acme": ["key-a1"]}, True, "acme"),
         ({"acme": ["key-a2"]}, False, None),
         ({"acme": [], "bolt": ["key-b"]}, False, None),
@@ -149,51 +154,56 @@
         ({}, False, None),
     )
     def test_key_is_looked_up_again_before_dispatch(self, keys, admitted, name):
-        """Guards against runs for a key that was taken away meanwhile."""
+        """Guards against running a request whose key was revoked while it waited."""
         before = read()
-        asking = call(head("key-a1"), before.organisations["acme"], 1)
+        waiting_call = call(head("key-a1"), before.organisations["acme"], 1)
         gate = Gate(Follower(read(2, keys)), SECRET)
-        self.assertEqual(gate.still_admits(asking), admitted)
-        found = asking.organisation
-        self.assertEqual(found.name if found is not None else None, name)
+        self.assertEqual(gate.still_admits(waiting_call), admitted)
+        result = waiting_call.organisation
+        self.assertEqual(result.name if result is not None else None, name)
 
     @params(({"acme": []}, True), ({"bolt": ["key-a1"]}, False))
-    def test_forwarded_request_goes_by_its_organisation(self, keys, admitted):
+    def test_forwarded_request_is_checked_by_its_organisation(self, keys, admitted):
         before = read()
-        asking = call(head(), before.organisations["acme"], 1, forwarded=True)
+        waiting_call = call(head(), before.organisations["acme"], 1, forwarded=True)
         gate = Gate(Follower(read(2, keys)), SECRET)
-        self.assertEqual(gate.still_admits(asking), admitted)
+        self.assertEqual(gate.still_admits(waiting_call), admitted)
 
 
-class TestForwarded(unittest.TestCase):
-    def vouched(self, version=1):
+class TestForwardedRequests(unittest.TestCase):
+    def signed_headers(self, version=1):
         sender = Gate(Follower(read()), SECRET)
-        return sender.vouch(call(head("key-a1"), read().organisations["acme"], version))
+        return sender.organisation_header(
+            call(head("key-a1"), read().organisations["acme"], version)
+        )
 
-    def test_word_of_another_host_is_believed(self):
+    def test_signed_header_of_another_host_is_accepted(self):
         catalogue = read()
         gate = Gate(Follower(catalogue), SECRET)
-        found = gate.identify_forwarded(head(), ROUTE, catalogue, self.vouched())
-        self.assertEqual(found.organisation.name, "acme")
+        result = gate.authenticate_forwarded(
+            head(), ROUTE, catalogue, self.signed_headers()
+        )
+        self.assertEqual(result.organisation.name, "acme")
 
     @params("acme 1 0123", "acme 1", "", "bolt 1 " + "0" * 32)
-    def test_word_of_anybody_else_is_not(self, text):
+    def test_header_without_a_valid_signature_is_rejected(self, text):
         catalogue = read()
         gate = Gate(Follower(catalogue), SECRET)
         headers = {ORGANISATION_HEADER: text}
-        found = gate.identify_forwarded(head(), ROUTE, catalogue, headers)
-        self.assertEqual(found, Unknown())
+        result = gate.authenticate_forwarded(head(), ROUTE, catalogue, headers)
+        self.assertEqual(result, UnknownKey())
 
     @params((2, True), (1, False))
     def test_organisation_that_is_not_known_here(self, version, admitted):
-        """Guards against a host that lags and turns away what a newer one sends on."""
+        """Guards against a host with an outdated catalogue that refuses requests which
+        a host with a newer one forwards."""
         catalogue = read(1, {"bolt": ["key-b"]})
         gate = Gate(Follower(catalogue), SECRET)
-        headers = self.vouched(version)
-        found = gate.identify_forwarded(head(), ROUTE, catalogue, headers)
-        self.assertEqual(isinstance(found, Admitted), admitted)
+        headers = self.signed_headers(version)
+        result = gate.authenticate_forwarded(head(), ROUTE, catalogue, headers)
+        self.assertEqual(isinstance(result, Authenticated), admitted)
 
-    def test_callers_can_not_vouch(self):
+    def test_organisation_header_is_not_accepted_from_callers(self):
         self.assertIn(ORGANISATION_HEADER, HOST_HEADERS)
 
 
@@ -205,25 +215,28 @@
         "x_bronzepoint_tenant_id",
         "x-bronzepoint_tenant-id",
     )
-    def test_callers_words_reach_no_target(self, name):
-        """Guards against keys, and organisations that a caller claims, at targets."""
+    def test_headers_of_callers_reach_no_target(self, name):
+        """Guards against passing API keys, and organisations that callers claim, to
+        targets."""
         headers = {"host": "h", "x-bronzepoint-request-id": "1", name: "secret"}
-        asked = CODEC.read_request(Request("POST", "/a", {}, headers, "/a"))
-        told = CODEC.target_headers(asked, 1.0, "i-1", 0, None, None, "acme")
-        self.assertNotIn("secret", [v for k, v in told.items()])
-        self.assertEqual(told["x-bronzepoint-tenant-id"], "acme")
+        caller_head = CODEC.read_request(Request("POST", "/a", {}, headers, "/a"))
+        target_headers = CODEC.target_headers(
+            caller_head, 1.0, "i-1", 0, None, None, "acme"
+        )
+        self.assertNotIn("secret", [v for k, v in target_headers.items()])
+        self.assertEqual(target_headers["x-bronzepoint-tenant-id"], "acme")
 
-    def test_target_hears_no_organisation_where_nobody_is_known(self):
-        told = CODEC.target_headers(head(), 1.0, "i-1", 0, None)
-        self.assertNotIn("x-bronzepoint-tenant-id", told)
+    def test_target_receives_no_organisation_of_an_unknown_caller(self):
+        target_headers = CODEC.target_headers(head(), 1.0, "i-1", 0, None)
+        self.assertNotIn("x-bronzepoint-tenant-id", target_headers)
 
     @params(("1460,80", 1540), ("5,0", 5), (None, None))
     def test_tokens_of_a_request(self, text, tokens):
         headers = {"host": "h", "x-bronzepoint-request-id": "1"}
         if text is not None:
             headers["x-bronzepoint-token-usage"] = text
-        asked = CODEC.read_request(Request("POST", "/a", {}, headers, "/a"))
-        self.assertEqual(asked.tokens, tokens)
+        caller_head = CODEC.read_request(Request("POST", "/a", {}, headers, "/a"))
+        self.assertEqual(caller_head.tokens, tokens)
 
     def test_tokens_below_zero_are_a_bad_request(self):
         headers = {"host": "h", "x-bronzepoint-token-usage": "-9000,10"}
@@ -239,7 +252,7 @@
         [{"name": "a", "rate_per_s": -1}],
         [{"api_keys": ["k1"]}],
     )
-    def test_invalid(self, *listed):
+    def test_invalid_organisations(self, *listed):
         with self.assertRaises(ManifestInvalid) as caught:
             content = json.dumps({**manifest(1), "tenants": list(listed)})
             read_manifest(content.encode())
@@ -273,46 +286,48 @@
         (("x", "y"), ("y", "z"), "x", False),
         (("x",), ("y",), "x", False),
     )
-    def test_homes_of_route_and_organisation_both_bind(self, route, own, region, may):
-        """Guards against runs outside of the homes of an organisation."""
-        asking = SimpleNamespace(home_regions=own)
+    def test_home_regions_of_route_and_organisation_both_apply(
+        self, route, own, region, expected
+    ):
+        """Guards against runs outside the home regions of an organisation."""
+        organisation = SimpleNamespace(home_regions=own)
         bound = SimpleNamespace(home_regions=route)
-        ask = PlacementAsk("id", bound, None, False, 4.0, set(), set(), 0)
-        ask.organisation = asking
-        self.assertEqual(ask.may_go_to(region), may)
+        request = PlacementAsk("id", bound, None, False, 4.0, set(), set(), 0)
+        request.organisation = organisation
+        self.assertEqual(request.may_go_to(region), expected)
 
     @params((None, 2), (0, 0), (5, 5))
-    def test_priority_of_the_organisation_goes_first(self, priority, rank):
+    def test_priority_of_the_organisation_takes_precedence(self, priority, rank):
         organisation = SimpleNamespace(priority=priority)
-        asking = call(head("key-a1"), organisation, 1)
-        now = asking.arrived
-        self.assertEqual(asking.rank(now), rank)
-        self.assertEqual(asking.rank(now + 1.5), rank + LATE_RANKS)
+        waiting_call = call(head("key-a1"), organisation, 1)
+        now = waiting_call.received_at
+        self.assertEqual(waiting_call.rank(now), rank)
+        self.assertEqual(waiting_call.rank(now + 1.5), rank + LATE_RANKS)
 
 
-class TestNames(unittest.TestCase):
-    def test_callers_behind_one_address_are_told_apart(self):
-        """Guards against one caller held back for what another one behind its address
-        has crashed."""
-        one, other = (
+class TestFingerprints(unittest.TestCase):
+    def test_callers_that_share_an_address_are_distinguished(self):
+        """Guards against blocking a caller for crashes caused by another one with the
+        same address."""
+        first, second = (
             name_request("h", "/a", f"10.0.0.1{digest_key(key)}", b"body")
             for key in (b"key-a1", b"key-b")
         )
-        self.assertNotEqual(one.exact, other.exact)
+        self.assertNotEqual(first.exact, second.exact)
 
-    def test_one_caller_at_many_addresses_is_known_by_what_it_asks(self):
+    def test_one_caller_at_many_addresses_is_identified_by_content(self):
         key = digest_key(b"key-a1")
-        one, other = (
+        first, second = (
             name_request("h", "/a", f"10.0.0.{n}{key}", b"body") for n in (1, 2)
         )
-        self.assertEqual(one.content, other.content)
+        self.assertEqual(first.content, second.content)
 
 
 class TestProcesses(unittest.TestCase):
     def test_keys_and_quota_on_a_site(self):
-        """A key is needed, stays here, and names who asks; beyond its quota its
-        organisation hears 429 with nothing run."""
-        # Most requests are beyond it, however slowly a busy machine sends them.
+        """A key is required, identifies the organisation and is not passed to targets;
+        requests over its quota are answered 429 and run on no target."""
+        # Low enough that most requests exceed it, even if a busy machine sends slowly.
         quota = {"rate_per_s": 0.2, "burst": 3}
 
         async def main():
@@ -334,14 +349,14 @@
                     served = sum(answer.status == 200 for answer in answers)
                     return served >= 3 and number - served > 10
 
-                await site.until(both_seen, BOTH_PATIENCE)
+                await site.until(both_seen, BOTH_MAX_WAIT)
                 seen = [r.headers for t in site.targets for r in t.seen]
                 states = {}
 
                 async def counted():
                     listed = await site.control_call("GET", "/-/organisations")
-                    told = json.loads(listed.body)["organisations"]
-                    states.update((one["name"], one) for one in told)
+                    entries = json.loads(listed.body)["organisations"]
+                    states.update((entry["name"], entry) for entry in entries)
                     return states["bolt"]["refused"] > 0
 
                 await site.until(counted)
--- a/tests/test_relay_caller_left.py
+++ b/tests/test_relay_caller_left.py
@@ -1,4 +1,4 @@
-"""A caller that leaves while its request is on the way to a target."""
+"""A caller disconnects while the host connects to a target for its request."""
 
 import unittest
 
@@ -15,42 +15,46 @@
 
 ROUTE = ServedRoute("r", "h", "/", RouteKind.IDEMPOTENT, 5.0, 1.0, 0, (), 1)
 SETTLE = 0.05
-"""Seconds that a new connection to a target waits before it is written to."""
+"""Seconds between the opening of a connection to a target and the first write to it."""
 
 
-class Caller:
-    """The caller's side of a request: it may be gone.
+class FakeExchange:
+    """Connection to a caller that may disconnect.
 
     Attributes:
-        has_left: It has closed its connection.
+        is_closed: True if the caller has closed its connection.
     """
 
     started = False
 
     def __init__(self):
         self.request = Request("POST", "/safe/a", {}, {}, "/safe/a")
-        self.has_left = False
+        self.is_closed = False
 
     def check_connected(self):
-        if self.has_left:
-            raise Disconnected("it closed the connection")
+        if self.is_closed:
+            raise Disconnected("the caller closed its connection")
 
 
-async def send(leaves):
-    """Send a request whose caller may leave meanwhile; return how often it arrived."""
+async def send(disconnects):
+    """Send a request whose caller may disconnect while the host connects.
+
+    Returns the number of requests that reached the target, and whether the call is
+    marked as written.
+    """
     target = StandInTarget("i-1", "127.0.0.1", 0)
     await target.server.start("127.0.0.1:0")
     client = HttpClient(HttpLimits(), 1.0, SETTLE)
-    caller = Caller()
+    exchange = FakeExchange()
     now = monotonic()
     head = CallerHead("id", "h", 5.0, None, None, {})
-    call = Call(caller, head, ROUTE, b"", now, now + 5.0, False, None)
+    call = Call(exchange, head, ROUTE, b"", now, now + 5.0, False, None)
     headers = {"X-Bronzepoint-Expect-Instance": "i-1"}
-    where = Destination(target.server.address, headers, 2.0, 2.0, 1.0)
+    destination = Destination(target.server.address, headers, 2.0, 2.0, 1.0)
     attempt = Try(client, PlatformCodec(), call, lambda events, seconds: None)
-    task = await curio.spawn(attempt.run, where)
+    task = await curio.spawn(attempt.run, destination)
     await curio.sleep(SETTLE / 5)
-    caller.has_left = leaves
+    exchange.is_closed = disconnects
     try:
         await task.join()
     except curio.TaskError as exc:
@@ -63,7 +67,7 @@
 
 class TestCallerThatLeaves(unittest.TestCase):
     def test_request_whose_caller_left_while_connecting_is_not_sent(self):
-        """Guards against work for a caller that left before the first byte went out."""
+        """Guards against work for a caller that left before the first byte was sent."""
         self.assertEqual(curio.run(send, True), (0, False))
 
     def test_request_of_a_caller_that_stays_is_sent(self):
--- a/tests/test_relay_deadline.py
+++ b/tests/test_relay_deadline.py
@@ -1,4 +1,4 @@
-"""What a caller is told when the time for its request is over."""
+"""Answers to requests whose deadline passes, or that are refused."""
 
 import unittest
 
@@ -45,59 +45,66 @@
         (True, 0, 1, 504),
         (False, 1, 1, 504),
     )
-    def test_only_what_may_have_run_is_in_doubt(self, written, runs, sends, status):
-        """Symptom: orders fail for good that reached no target.
-        Sequence: two targets take no connection; the route's timeout comes with half
-        of the caller's time left, and the caller may not repeat after a 504.
-        Cause: every try counted as one that may have run."""
+    def test_504_only_if_the_request_may_have_run(self, written, runs, sends, status):
+        """Guards against 504, after which a caller must not retry, for a request that
+        reached no target.
+
+        Two targets accept no connection, and the route's timeout passes with half of
+        the caller's deadline left. The fault was that every try counted as one that may
+        have run.
+        """
         call = late_call(written, runs, sends)
-        curio.run(FinalAnswers(FakeFollower(), Metrics()).say_late, call)
+        curio.run(FinalAnswers(FakeFollower(), Metrics()).answer_late, call)
         found, headers = call.exchange.answer
         self.assertEqual(found, status)
         self.assertEqual("Retry-After" in headers, status == 503)
 
     @params(
-        # runs that the forwarding host told of, runs since, status, is it promised
+        # runs reported by the forwarding host, runs since, status, whether the answer
+        # guarantees that the request did not run
         (1, 0, 503, True),
         (1, 1, 502, False),
         (0, 1, 502, False),
     )
-    def test_refusal_of_another_region_is_no_run(self, told, since, status, promised):
-        """Guards against a request that fails since a region that had no room for it
-        answered as if it had run there."""
-        call = late_call(False, told + since, 0)
-        call.forwarded, call.told_runs = True, told
+    def test_refusal_of_another_region_is_no_run(
+        self, reported, since, status, guaranteed
+    ):
+        """Guards against a region without free capacity that answers a forwarded
+        request as if it had run there, which makes the request fail."""
+        call = late_call(False, reported + since, 0)
+        call.forwarded, call.reported_runs = True, reported
         rejected = Rejected(RejectReason.NO_ROOM, 0.5)
         curio.run(FinalAnswers(FakeFollower(), Metrics()).reject, call, rejected)
         found, headers = call.exchange.answer
         self.assertEqual(found, status)
-        self.assertEqual(headers.get(RAN_HEADER) == "no", promised)
+        self.assertEqual(headers.get(RAN_HEADER) == "no", guaranteed)
 
     @params(
         (RejectReason.UNAUTHENTICATED, 401, False),
         (RejectReason.OVER_QUOTA, 429, True),
         (RejectReason.NO_ROOM, 503, True),
     )
-    def test_refusals_say_when_to_come_back_where_that_helps(
-        self, reason, status, comes
+    def test_refusals_have_retry_after_unless_retries_fail_too(
+        self, reason, status, has_retry_after
     ):
         call = late_call(False, 0, 0)
         answers = FinalAnswers(FakeFollower(), Metrics())
         curio.run(answers.refuse, call.exchange, call.head, reason, 0.5)
         found, headers = call.exchange.answer
-        self.assertEqual((found, "Retry-After" in headers), (status, comes))
+        self.assertEqual((found, "Retry-After" in headers), (status, has_retry_after))
 
     @params((0.65,), (0.0,), (-0.1,))
     def test_deadline_comes_before_the_end_of_a_wait(self, left):
-        """Symptom: a caller whose time is over is told now 504, now 502.
-        Sequence: its target says nothing; the wait for the answer and the request's own
-        deadline end at the same moment.
-        Cause: whichever timer fired first decided what it was told."""
+        """Guards against a status at the deadline that is 504 or 502 at random.
+
+        The target sends nothing, and the wait for its answer would end at the same
+        moment as the request's deadline: the timer that fired first decided the status.
+        """
         call = late_call(False, 0, 0)
-        call.until = monotonic() + left
+        call.deadline_at = monotonic() + left
         sender = Sender(*[None] * 10)
-        for wait in (sender._patience(call, 0.0), sender._stall(call)):
-            self.assertGreater(wait, max(0.0, call.left))
+        for wait in (sender._head_max_wait(call, 0.0), sender._piece_max_wait(call)):
+            self.assertGreater(wait, max(0.0, call.time_left))
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -1,4 +1,4 @@
-"""Streams are passed on in whole events."""
+"""Streams are relayed in complete events only."""
 
 import unittest
 
@@ -18,19 +18,21 @@
         ([ONE[:-1], b"\n" + TWO[:6]], [b"", ONE], "1", TWO[:6]),
         ([b": note\n\n"], [b": note\n\n"], None, b""),
     )
-    def test_only_whole_events_are_given_on(self, pieces, expected, last, rest):
+    def test_only_complete_events_are_released(self, pieces, expected, last, remainder):
         splitter = EventSplitter()
         self.assertEqual([splitter.feed(piece) for piece in pieces], expected)
-        self.assertEqual((splitter.last_id, splitter.rest()), (last, rest))
+        self.assertEqual((splitter.last_id, splitter.remainder()), (last, remainder))
 
-    def test_part_of_an_event_is_dropped_before_another_target_goes_on(self):
-        """Symptom: a stream shows pieces of two runs joined.
-        Sequence: a target stops in the middle of an event; another goes on behind the
-        last whole one, and sends that event again.
-        Cause: the first part was passed on already."""
+    def test_partial_event_is_discarded_before_another_target_resumes(self):
+        """Guards against an event that joins parts of two runs.
+
+        A target stops in the middle of an event, and another one resumes after the last
+        complete event, so that it sends the partial event again. The fault was that the
+        first part had already been sent to the caller.
+        """
         splitter = EventSplitter()
         splitter.feed(ONE + TWO[:8])
-        splitter.restart()
+        splitter.discard_partial()
         self.assertEqual(splitter.feed(TWO), TWO)
         self.assertEqual(splitter.last_id, "2")
 
--- a/tests/test_relay_late_requests.py
+++ b/tests/test_relay_late_requests.py
@@ -1,4 +1,4 @@
-"""Requests that can't be answered in time any more stand behind those that can."""
+"""Requests that can no longer meet their objective queue behind those that can."""
 
 import unittest
 
@@ -12,69 +12,70 @@
 from bronzepoint_node.relay._usual_deadlines import UsualDeadlines
 
 ROUTE = ServedRoute("r", "h", "/", RouteKind.STREAM, 12.0, 1.2, 2, (), 2, True)
-FRESH = 12.0
-"""Deadline of callers that begin."""
+NEW = 12.0
+"""Deadline of new requests, in seconds."""
 
 
-def call(spent=0.0, waited=0.0, first_event=False, now=None):
+def call(prior_wait=0.0, waited=0.0, first_event=False, now=None):
     now = monotonic() if now is None else now
     made = Call(None, None, ROUTE, b"", now - waited, now, False, None)
-    made.spent = spent
+    made.prior_wait = prior_wait
     made.first_event_at = now if first_event else 0.0
     return made
 
 
 class TestUsualDeadlines(unittest.TestCase):
     @params(
-        ((), FRESH, 0.0),
-        ((FRESH,) * 30, FRESH, 0.0),
-        ((FRESH,) * 30, 8.0, 4.0),
-        # callers of two sorts: neither comes again
-        ((FRESH, 3.0) * 30, 3.0, 0.0),
-        ((FRESH, 3.0) * 30, 2.0, 10.0),
-        # one odd caller makes nobody late
-        ((FRESH,) * 30 + (90.0,), FRESH, 0.0),
-        # a crowd that comes again, just after a start, with few that begin
-        ((8.1, 7.3, 6.2, 9.0, 5.5, FRESH), 8.0, 4.0),
+        ((), NEW, 0.0),
+        ((NEW,) * 30, NEW, 0.0),
+        ((NEW,) * 30, 8.0, 4.0),
+        # two kinds of new requests, no retries
+        ((NEW, 3.0) * 30, 3.0, 0.0),
+        ((NEW, 3.0) * 30, 2.0, 10.0),
+        # a single unusual caller makes no other request late
+        ((NEW,) * 30 + (90.0,), NEW, 0.0),
+        # many retries and few new requests, just after a start
+        ((8.1, 7.3, 6.2, 9.0, 5.5, NEW), 8.0, 4.0),
     )
     def test_time_used_before(self, seen, deadline, expected):
         usual = UsualDeadlines()
         for earlier in seen:
-            usual.spent(ROUTE, earlier)
-        self.assertAlmostEqual(usual.spent(ROUTE, deadline), expected, delta=0.05)
+            usual.prior_wait(ROUTE, earlier)
+        self.assertAlmostEqual(usual.prior_wait(ROUTE, deadline), expected, delta=0.05)
 
 
 class TestRank(unittest.TestCase):
     @params(
         ({}, 0),
-        ({"spent": 1.0}, 0),
-        ({"spent": 1.0, "waited": 0.5}, LATE_RANKS),
-        ({"spent": 4.0}, LATE_RANKS),
-        # it has been answered in time, and goes on at another target
-        ({"spent": 0.0, "waited": 3.0, "first_event": True}, 0),
+        ({"prior_wait": 1.0}, 0),
+        ({"prior_wait": 1.0, "waited": 0.5}, LATE_RANKS),
+        ({"prior_wait": 4.0}, LATE_RANKS),
+        # its first event was in time; the stream is resumed at another target
+        ({"prior_wait": 0.0, "waited": 3.0, "first_event": True}, 0),
     )
-    def test_rank_by_what_can_be_earned(self, times, put_back):
-        # One moment for both: counted from when this module was read, a request was
-        # late wherever that took 0.2 s.
+    def test_rank_depends_on_lateness(self, times, extra_rank):
+        # The request and its rank need one common time. With a time taken when the
+        # module was loaded, requests were late whenever loading took 0.2 s.
         now = monotonic()
         made = call(**times, now=now)
-        self.assertEqual(made.rank(now), ROUTE.priority + put_back)
+        self.assertEqual(made.rank(now), ROUTE.priority + extra_rank)
 
-    def test_crowd_that_comes_again_stands_behind_those_that_begin(self):
-        """Symptom: for four seconds after a kill of everything nearly every first
-        answer is late.
-        Sequence: callers whose connections had died come again together; those that
-        begin find them before them in line and in the engines.
-        Cause: they stood in order of arrival."""
+    def test_retries_queue_behind_new_requests(self):
+        """Guards against seconds of late first answers after a crash of all processes.
+
+        Callers whose connections were lost retry together. The fault was that requests
+        were queued in order of arrival, so that new requests waited behind all retries,
+        here and in the engines.
+        """
 
         async def main():
-            line = WaitingLine()
-            crowd = [call(spent=4.0) for _ in range(20)]
-            begun = [call() for _ in range(5)]
-            for order, each in enumerate(crowd + begun):
+            queue = WaitingLine()
+            retries = [call(prior_wait=4.0) for _ in range(20)]
+            new = [call() for _ in range(5)]
+            for order, each in enumerate(retries + new):
                 rank = each.rank(monotonic())
-                line.join(Waiter(rank, float(order), monotonic() + 1.0))
-            return [waiter.arrived for waiter in line._waiters]
+                queue.join(Waiter(rank, float(order), monotonic() + 1.0))
+            return [waiter.arrived for waiter in queue._waiters]
 
         self.assertEqual(curio.run(main), [*range(20, 25), *range(20)])
 
--- a/tests/test_relay_looks.py
+++ b/tests/test_relay_placement_wait.py
@@ -1,4 +1,4 @@
-"""A request that waits for room looks for it now and then, and lets others work."""
+"""A request that waits for free capacity checks for it periodically, not in a loop."""
 
 import unittest
 
@@ -26,12 +26,13 @@
     2,
 )
 WAIT = 0.5
-"""Seconds for which a request may wait for room."""
+"""Seconds for which a request may wait for free capacity."""
 LONG_HOLD_MS = 60_000
-"""Time for which a request holds a slot, so that a line of one takes too long."""
+"""Milliseconds for which a request holds a slot: long enough that no request may wait
+for one to become free."""
 MANY = 200
-"""Measurements after which an average is close to what is measured."""
-MOST_LOOKS = 3
+"""Number of measurements after which the estimate is close to the measured value."""
+MAX_PLACEMENT_REQUESTS = 3
 
 
 def relay_on(host):
@@ -45,7 +46,7 @@
 
 
 def fill(region, hold_ms):
-    """Leave no room at any target, as all that choose know."""
+    """Occupy all slots of all targets, in the view of every host."""
     schedulers = [*region.hosts.values(), *region.core.values()]
     for scheduler in schedulers:
         for tracked in scheduler.table.all():
@@ -57,40 +58,44 @@
             host.placer.speeds.learn_hold(Hold("s", hold_ms))
 
 
-async def find(host, call):
-    return await relay_on(host)._find_place(call, monotonic() + WAIT)
+async def find_placement(host, call):
+    return await relay_on(host)._find_placement(call, monotonic() + WAIT)
 
 
-class TestLineThatIsTooLong(unittest.TestCase):
-    def test_request_that_no_line_takes_is_refused_at_once(self):
-        """Guards against a host that asks without a pause while nothing has room."""
-        # One host chooses by itself; one of many asks the scheduler of its region.
+class TestQueueTooLong(unittest.TestCase):
+    def test_request_that_no_queue_accepts_is_refused_at_once(self):
+        """Guards against a host that requests placements in a tight loop while no
+        target has free capacity."""
+        # A single host chooses targets itself; with several hosts, each one queries the
+        # scheduler of its region.
         for hosts in (1, 8):
             with self.subTest(hosts=hosts):
-                placement, looks = curio.run(self.look, hosts)
+                placement, placement_requests = curio.run(self.place, hosts)
                 self.assertIsInstance(placement, Rejected)
                 self.assertIs(placement.reason, RejectReason.NO_ROOM)
-                self.assertLessEqual(looks, MOST_LOOKS)
+                self.assertLessEqual(placement_requests, MAX_PLACEMENT_REQUESTS)
 
-    async def look(self, hosts):
+    async def place(self, hosts):
         async with Region(hosts, 1) as region:
             fill(region, LONG_HOLD_MS)
             host = region.members[0] if hosts > 1 else region.scheduler
             call = make_call()
-            return await find(host, call), call.looks
+            return await find_placement(host, call), call.placement_requests
 
 
-class TestLineThatMoves(unittest.TestCase):
-    def test_request_waits_for_room_in_line(self):
+class TestQueueThatMoves(unittest.TestCase):
+    def test_request_waits_for_capacity_in_queue(self):
         async def main():
             async with Region(1, 1) as region:
                 fill(region, 1)
                 host = region.scheduler
                 call = make_call()
-                waiting = await curio.spawn(find, host, call)
+                waiting = await curio.spawn(find_placement, host, call)
                 await curio.sleep(WAIT / 5)
                 host.table.get("t0").load.end(f"{host.name}-0")
-                return (await waiting.join()).target.info.incarnation, call.looks
+                return (
+                    await waiting.join()
+                ).target.info.incarnation, call.placement_requests
 
         self.assertEqual(curio.run(main), ("t0", 2))
 
--- a/tests/test_relay_reception.py
+++ b/tests/test_relay_reception.py
@@ -1,4 +1,4 @@
-"""What is turned away before it is placed: unknown routes, and what comes too late."""
+"""Requests refused before placement: unknown routes, and requests to lagging hosts."""
 
 import json
 import unittest
@@ -14,13 +14,13 @@
 from bronzepoint_platform._manifest import read_manifest
 from tests._platform_site import manifest
 
-CONFIRMED, OLD = 0.1, 9.0
-"""Seconds since the last confirmation of the catalogue."""
+CONFIRMED, OUTDATED = 0.1, 9.0
+"""Seconds since the catalogue was confirmed as current: recent, and too old."""
 DEADLINE_MS = "400"
 
 
 class Follower:
-    """What is in force, and how long ago that was confirmed."""
+    """A catalogue, and the seconds since it was confirmed as current."""
 
     targets = ()
     targets_read_at = 0.0
@@ -34,7 +34,7 @@
 
 
 class Exchange:
-    """A caller's connection; keeps its answer."""
+    """A caller's connection; records the status of the answer."""
 
     started = False
     answer = None
@@ -58,22 +58,22 @@
 
 
 def receive(follower, path, meanwhile=None, lag=0.0):
-    """Return what a caller is told, and whether its request is to be served.
+    """Return the status of a refusal, and whether the request is to be served.
 
     Args:
-        follower: What is in force.
-        path: What is asked for.
-        meanwhile: Called once the request has been read.
-        lag: Seconds by which the host lags.
+        follower: Source of the catalogue.
+        path: Path of the request.
+        meanwhile: Called while the request is being processed.
+        lag: Lag of the host's event loop, in seconds.
     """
 
     async def main():
         gate = Gate(follower, b"secret")
         answers = FinalAnswers(follower, Metrics())
-        kept_up = Lag()
-        kept_up.seconds = lag
+        loop_lag = Lag()
+        loop_lag.seconds = lag
         reception = Reception(
-            follower, gate, Quotas(), answers, PlatformCodec(), kept_up
+            follower, gate, Quotas(), answers, PlatformCodec(), loop_lag
         )
         exchange = Exchange(path)
         task = await curio.spawn(reception.receive, exchange, False)
@@ -87,7 +87,7 @@
 
 
 class Quotas:
-    """Limits nobody."""
+    """Applies no quota to any request."""
 
     def take(self, organisation, tokens):
         return None
@@ -96,15 +96,15 @@
 class TestUnknownRoute(unittest.TestCase):
     @params(
         (CONFIRMED, "/nowhere/a", 404, False),
-        (OLD, "/nowhere/a", 503, False),
-        (OLD, "/safe/a", None, True),
+        (OUTDATED, "/nowhere/a", 503, False),
+        (OUTDATED, "/safe/a", None, True),
     )
-    def test_only_a_confirmed_catalogue_denies(self, age, path, status, served):
+    def test_404_only_with_a_confirmed_catalogue(self, age, path, status, served):
         """Guards against 404 for a route that a newer version has added."""
         self.assertEqual(receive(Follower(age), path), (status, served))
 
     def test_route_of_a_version_that_arrives_meanwhile_is_served(self):
-        follower = Follower(OLD)
+        follower = Follower(OUTDATED)
 
         def arrive():
             newer = manifest(2)
@@ -116,10 +116,13 @@
 
 
 class TestLaggingHost(unittest.TestCase):
-    # The objective of the route is a second.
+    # The objective of the route is one second.
     @params((0.0, None, True), (0.2, None, True), (0.5, 503, False), (5.0, 503, False))
-    def test_host_that_lags_takes_what_it_can_answer_in_time(self, lag, status, served):
-        """Guards against a host that holds requests until nobody waits for them."""
+    def test_lagging_host_accepts_only_requests_it_can_answer(
+        self, lag, status, served
+    ):
+        """Guards against a lagging host that accepts requests and answers them only
+        after their callers have given up."""
         found = receive(Follower(CONFIRMED), "/safe/a", lag=lag)
         self.assertEqual(found, (status, served))
 
--- a/tests/test_relay_runs.py
+++ b/tests/test_relay_runs.py
@@ -1,4 +1,4 @@
-"""Runs of one request in two regions count together."""
+"""The limit of runs applies to all regions together."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from bronzepoint_node.relay._call import Call
 from bronzepoint_node.relay._host_headers import RUNS_HEADER
 from bronzepoint_node.relay._relay import _trial_end
-from bronzepoint_node.relay._sender import _count_runs
+from bronzepoint_node.relay._sender import _update_runs
 
 ROUTE = ServedRoute("r", "h", "/", RouteKind.IDEMPOTENT, 5.0, 1.0, 0, (), 3)
 
@@ -25,7 +25,7 @@
 
 class TestTrialEnd(unittest.TestCase):
     @params(
-        # by permit, sent, a byte has left, hosts, arrivals, runs, how the trial ended
+        # by permit, sends, a byte was sent, hosts, arrivals, runs, end of the trial
         (False, 1, False, 0, 1, 0, TrialEnd.USED),
         (True, 0, False, 0, 0, 0, TrialEnd.NOT_SENT),
         (True, 1, False, 0, 0, 0, TrialEnd.NOT_SENT),
@@ -34,11 +34,11 @@
         (True, 1, True, 0, 1, 1, TrialEnd.USED),
         (True, 1, False, 1, 0, 0, TrialEnd.USED),
     )
-    def test_how_far_a_permitted_try_got(
+    def test_end_of_a_permitted_trial(
         self, by_permit, sends, written, hosts, arrivals, runs, expected
     ):
-        """Guards against a permit that is used twice where the first try may have run,
-        and against one that is lost where it certainly didn't."""
+        """Guards against a permit that is used again although the first try may have
+        run, and against one that is used up by a try that certainly did not run."""
         tried = call(1)
         tried.written = True
         before = tried.progress()
@@ -54,42 +54,51 @@
 
 class TestRuns(unittest.TestCase):
     @params((0, "2", 1), (0, "1", 0), (1, "3", 2), (1, "", 1), (1, "x", 1))
-    def test_two_failed_runs_elsewhere_are_not_one(self, runs, told, expected):
-        """Symptom: a request ran on three targets where its route allows two.
-        Sequence: another region runs it twice, both fail, and answers 500; here that
-        counts as one run, and it is sent to a third target.
-        Cause: the answer didn't say how often it had run."""
+    def test_two_failed_runs_elsewhere_are_not_one(self, runs, reported, expected):
+        """Guards against a request that runs on three targets although its route
+        allows two.
+
+        Another region runs it twice without success and answers 500. The fault was that
+        the answer did not contain the number of runs: it counted as one run here, and
+        the request was sent to a third target.
+        """
         here = call(runs)
-        headers = {RUNS_HEADER: told, "x": "kept"} if told else {"x": "kept"}
-        _count_runs(here, headers)
+        headers = {RUNS_HEADER: reported, "x": "kept"} if reported else {"x": "kept"}
+        _update_runs(here, headers)
         self.assertEqual(here.runs, expected)
         self.assertEqual(headers, {"x": "kept"})
 
     @params(
-        # granted by the host that forwarded it, ran before, may it run here again
+        # granted by the forwarding host, runs before, runs on ended targets, whether it
+        # may run here again
         (1, 0, 0, False),
         (2, 1, 0, False),
         (2, 0, 1, True),
         (0, 0, 1, True),
         (9, 1, 0, True),
     )
-    def test_forwarded_request_runs_as_often_as_granted(self, granted, ran, ended, may):
-        """Symptom: a request ran on three targets where its route allows two.
-        Sequence: another region runs it twice, both are cut, and so is its answer; here
-        that counts as one run, and it is sent to a third target.
-        Cause: the host that forwards a request can't know how often it runs there, if
-        no answer comes."""
+    def test_forwarded_request_runs_as_often_as_granted(
+        self, granted, ran, ended, expected_repeat
+    ):
+        """Guards against a request that runs on three targets although its route
+        allows two.
+
+        Another region runs it twice, both answers are truncated, and so is the region's
+        own answer: it counted as one run here, and the request was sent to a third
+        target. Without an answer, the forwarding host can't know how often the request
+        ran in the other region.
+        """
         there = call(ran, forwarded=True)
         there.route = ROUTE
         there.granted_runs = granted
         there.runs += 1
         there.ended_runs = ended
         there.exchange = Exchange()
-        there.until = monotonic() + 5.0
-        self.assertEqual(there.may_repeat, may)
+        there.deadline_at = monotonic() + 5.0
+        self.assertEqual(there.may_repeat, expected_repeat)
 
     @params((True, {RUNS_HEADER: "2"}), (False, {}))
-    def test_only_another_host_is_told(self, forwarded, expected):
+    def test_only_another_host_gets_the_number_of_runs(self, forwarded, expected):
         self.assertEqual(call(2, forwarded).answer_headers({}), expected)
 
 
--- a/tests/test_relay_waiting_line.py
+++ b/tests/test_relay_waiting_line.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room: who looks for it, and in which order."""
+"""Requests that wait for capacity: which ones check for it, and in which order."""
 
 import unittest
 
@@ -9,80 +9,88 @@
 from bronzepoint_node.placement._waiting_line import HEADS, Waiter, WaitingLine
 
 
-async def looks(line, waiter, seconds):
-    """Return how often a waiter was told to look for room, within some seconds."""
+async def count_checks(queue, waiter, seconds):
+    """Return the number of capacity checks a waiter may make within ``seconds``."""
     count = 0
     async with curio.ignore_after(seconds):
-        while await line.wait(waiter):
+        while await queue.wait(waiter):
             count += 1
     return count
 
 
-def waiter(arrived, rank=0, patience=60.0):
-    return Waiter(rank, arrived, monotonic() + patience)
+def waiter(arrived, rank=0, max_wait=60.0):
+    return Waiter(rank, arrived, monotonic() + max_wait)
 
 
 class TestWaitingLine(unittest.TestCase):
     @params((1, 1), (HEADS, HEADS), (40, HEADS))
-    def test_only_the_first_look_for_room(self, count, expected):
-        """Symptom: under load a host's streams pause, and its processor is used up.
-        Sequence: dozens of requests wait, and each looks for room 33 times a second.
-        Cause: the cost of looking grew with the number of those that wait."""
+    def test_only_the_first_check_for_capacity(self, count, expected):
+        """Guards against a host that spends its processor time on capacity checks, so
+        that its streams stall under load.
+
+        Dozens of requests wait, and each one checked 33 times a second: the cost grew
+        with the length of the queue.
+        """
 
         async def main():
-            line = WaitingLine()
+            queue = WaitingLine()
             waiters = [waiter(number) for number in range(count)]
             for each in reversed(waiters):
-                line.join(each)
+                queue.join(each)
             async with curio.TaskGroup() as group:
-                tasks = [await group.spawn(looks, line, w, 0.3) for w in waiters]
+                tasks = [
+                    await group.spawn(count_checks, queue, w, 0.3) for w in waiters
+                ]
             return [task.result > 0 for task in tasks]
 
-        looked = curio.run(main)
-        self.assertEqual(looked, [number < expected for number in range(count)])
+        checked = curio.run(main)
+        self.assertEqual(checked, [number < expected for number in range(count)])
 
     @params(
-        # ranks in order of arrival, and the order in which they look
+        # ranks in order of arrival, expected order of the checks
         ((0, 0, 0), [0, 1, 2]),
         ((1, 0, 1, 0), [1, 3, 0, 2]),
     )
-    def test_urgent_ones_go_first_then_those_that_came_first(self, ranks, order):
+    def test_order_by_rank_then_by_arrival(self, ranks, order):
         async def main():
-            line = WaitingLine()
+            queue = WaitingLine()
             waiters = [waiter(number, rank) for number, rank in enumerate(ranks)]
             for each in waiters:
-                line.join(each)
-            return [waiters.index(each) for each in line._waiters]
+                queue.join(each)
+            return [waiters.index(each) for each in queue._waiters]
 
         self.assertEqual(curio.run(main), order)
 
-    def test_next_one_looks_once_another_has_left(self):
+    def test_next_one_checks_once_another_has_left(self):
         async def main():
-            line = WaitingLine()
+            queue = WaitingLine()
             waiters = [waiter(number) for number in range(HEADS + 1)]
             for each in waiters:
-                line.join(each)
-            last = await curio.spawn(looks, line, waiters[-1], 0.3)
+                queue.join(each)
+            last = await curio.spawn(count_checks, queue, waiters[-1], 0.3)
             await curio.sleep(0.05)
-            await line.leave(waiters[0])
-            return await last.join(), len(line)
+            await queue.leave(waiters[0])
+            return await last.join(), len(queue)
 
-        looked, left = curio.run(main)
-        self.assertGreater(looked, 0)
+        checked, left = curio.run(main)
+        self.assertGreater(checked, 0)
         self.assertEqual(left, HEADS)
 
-    def test_one_that_is_never_a_head_looks_at_the_end(self):
-        """Symptom: a request is refused though its region has had room for it.
-        Sequence: those before it in the line are home-bound, and find no room.
-        Cause: it was told that its time is over before it had looked again."""
+    def test_request_never_at_the_head_checks_at_the_end(self):
+        """Guards against a request that is refused although its region has had free
+        capacity for it.
+
+        The requests before it in the queue are bound to other home regions and find
+        none. The fault was that its wait ended without a last check.
+        """
 
         async def main():
-            line = WaitingLine()
+            queue = WaitingLine()
             for number in range(HEADS):
-                line.join(waiter(number))
-            late = waiter(9, patience=0.1)
-            line.join(late)
-            return await line.wait(late), await line.wait(late)
+                queue.join(waiter(number))
+            late = waiter(9, max_wait=0.1)
+            queue.join(late)
+            return await queue.wait(late), await queue.wait(late)
 
         self.assertEqual(curio.run(main), (True, False))
 
