--- a/packages/node/src/bronzepoint_node/quota/__init__.py
+++ b/packages/node/src/bronzepoint_node/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Quotas of organisations, counted over all hosts of all regions."""
+"""Quotas of organisations, enforced over all hosts of all regions together."""
 
 from ._host_quotas import Charge, HostQuotas, OverQuota
 from ._ledger import Ledger
--- a/packages/node/src/bronzepoint_node/quota/_account.py
+++ b/packages/node/src/bronzepoint_node/quota/_account.py
@@ -1,4 +1,4 @@
-"""What is counted of one organisation over all hosts, and what it may still use."""
+"""Use of one organisation over all hosts, and what it may still use."""
 
 from collections.abc import Mapping
 
@@ -7,123 +7,129 @@
 from bronzepoint_schema.ids import OrganisationName, RegionName
 
 from ._rate_meter import RateMeter
-from ._regions import Parts
+from ._regions import RegionShares
 from ._tolerance import Tolerance
 
 HORIZON = 1.0
-"""Seconds over which what is left is let through. Several times the delay with which
-hosts hear of each other, or use would swing about the quota."""
-SILENT_AFTER = 0.8
-"""Seconds after which a region of which no counter tells counts as cut off."""
-NOTE_INTERVAL = 1.0
-"""Seconds between two notes of what regions use. The older one of two speaks of a time
-before any cut that is noticed now."""
-TOLERANCE_USED = 0.25
-"""Part of the tolerance that may be used, so that an organisation at its quota isn't
-refused for what hosts learn late."""
+"""Seconds over which the units left in the bucket are released. It must be several
+times the delay of updates between hosts, or the admitted rate would oscillate about
+the quota."""
+UNREACHABLE_AFTER = 0.8
+"""Seconds without a report about a region after which it counts as partitioned."""
+SAMPLE_INTERVAL = 1.0
+"""Seconds between two samples of the use of each region. The older of the last two
+samples was taken before any network partition that is detected now."""
+TOLERANCE_SHARE = 0.25
+"""Share of the tolerance that may be used, so that an organisation at its quota isn't
+refused because hosts receive updates late."""
 
 
 class Account:
-    """A token bucket that is charged by many hosts, each of them a little late.
+    """A token bucket that many hosts charge, each with a short delay.
 
     Args:
-        quota: What the organisation may use.
-        parts: Which regions are heard.
+        quota: Quota of the organisation.
+        shares: Which regions are reachable.
         now: Monotonic seconds.
 
     Attributes:
-        demand: What its callers ask for.
-        used: What is let through.
-        by_region: The part of it in each region.
+        demand: Units per second of all requests.
+        used: Units per second of the admitted requests.
+        by_region: Units per second of the admitted requests in each region.
         refused: Units refused since the start.
     """
 
-    def __init__(self, quota: Quota, parts: Parts, now: float) -> None:
+    def __init__(self, quota: Quota, shares: RegionShares, now: float) -> None:
         self.quota = quota
         self.demand = RateMeter()
         self.used = RateMeter()
         self.by_region: dict[RegionName, RateMeter] = {}
         self.refused = 0
         self._level = quota.burst * (
-            1.0 if parts.all_heard else parts.part_of(parts.heard, {})
+            1.0 if shares.all_reachable else shares.share_of(shares.reachable, {})
         )
         self._withheld = quota.burst - self._level
-        self._refill = quota.rate
-        self._silent = parts.silent
-        self._at = now
-        self._noted_at = now
-        self._noted: dict[RegionName, float] = {}
-        self._noted_before: dict[RegionName, float] = {}
+        self._refill_rate = quota.rate
+        self._unreachable = shares.unreachable
+        self._updated_at = now
+        self._sampled_at = now
+        self._use_sample: dict[RegionName, float] = {}
+        self._previous_use_sample: dict[RegionName, float] = {}
 
     def set_quota(self, quota: Quota, now: float) -> None:
-        """Go on with another quota; what a larger burst adds may be used at once."""
+        """Change the quota; the units that a larger burst adds may be used at once."""
         self.advance(now)
         self._level += max(0.0, quota.burst - self.quota.burst)
         self._level = min(self._level, quota.burst)
         self.quota = quota
-        self._refill = quota.rate
+        self._refill_rate = quota.rate
 
-    def share_out(
+    def redistribute(
         self,
-        parts: Parts,
+        shares: RegionShares,
         tolerance: Tolerance,
         now: float,
     ) -> None:
-        """Go on at the rate that is left beside regions that aren't heard.
+        """Limit this side of a network partition to its share of the quota.
+
+        Restores the full quota if all regions are reachable.
 
         Args:
-            parts: Who is heard.
-            tolerance: What is borne beyond the quota.
+            shares: Which regions are reachable.
+            tolerance: Tolerated use beyond the quota.
             now: Monotonic seconds.
         """
         self.advance(now)
         rate = self.quota.rate
-        if parts.all_heard:
-            self._refill = rate
+        if shares.all_reachable:
+            self._refill_rate = rate
             self._level = min(self.quota.burst, self._level + self._withheld)
             self._withheld = 0.0
-            self._silent = frozenset()
+            self._unreachable = frozenset()
             return
-        # Both sides of a cut go by what all knew before it began, or their parts would
-        # add up to more than the whole.
-        used = self._noted_before
-        part = parts.part_of(parts.heard, used)
-        most = rate + TOLERANCE_USED * tolerance.rate(self.quota)
-        self._refill = min(rate, most * part)
-        self._give_back(parts, used)
-        newly = parts.part_of(parts.silent - self._silent, used)
-        # Until now they have used what they like, and they part the same level.
-        theirs = newly * (max(0.0, self._level) + rate * SILENT_AFTER)
-        self._level -= theirs
-        self._withheld += theirs
-        self._silent = parts.silent
-
-    def _give_back(self, parts: Parts, used: Mapping[RegionName, float]) -> None:
-        """Take back what is withheld for regions that are silent no more."""
-        theirs = parts.part_of(self._silent - parts.silent, used)
-        left = parts.part_of(self._silent & parts.silent, used)
-        if theirs > 0:
-            back = self._withheld * theirs / (theirs + left)
-            self._level += back
-            self._withheld -= back
-
-    def _note_use(self, now: float) -> None:
-        if self._silent or now - self._noted_at < NOTE_INTERVAL:
+        # Both sides of a partition use the samples that all had before it began. With
+        # later samples their shares could add up to more than the quota.
+        used = self._previous_use_sample
+        share = shares.share_of(shares.reachable, used)
+        max_rate = rate + TOLERANCE_SHARE * tolerance.rate(self.quota)
+        self._refill_rate = min(rate, max_rate * share)
+        self._restore_withheld(shares, used)
+        new_share = shares.share_of(shares.unreachable - self._unreachable, used)
+        # Until this moment those regions used the quota without this limit, and they
+        # divide the same level among themselves.
+        withheld = new_share * (max(0.0, self._level) + rate * UNREACHABLE_AFTER)
+        self._level -= withheld
+        self._withheld += withheld
+        self._unreachable = shares.unreachable
+
+    def _restore_withheld(
+        self, shares: RegionShares, used: Mapping[RegionName, float]
+    ) -> None:
+        """Restore the units withheld for regions that are reachable again."""
+        returning = shares.share_of(self._unreachable - shares.unreachable, used)
+        remaining = shares.share_of(self._unreachable & shares.unreachable, used)
+        if returning > 0:
+            restored = self._withheld * returning / (returning + remaining)
+            self._level += restored
+            self._withheld -= restored
+
+    def _sample_use(self, now: float) -> None:
+        if self._unreachable or now - self._sampled_at < SAMPLE_INTERVAL:
             return
-        self._noted_at = now
-        self._noted_before = self._noted
-        self._noted = {r: meter.rate(now) for r, meter in self.by_region.items()}
+        self._sampled_at = now
+        self._previous_use_sample = self._use_sample
+        self._use_sample = {r: meter.rate(now) for r, meter in self.by_region.items()}
 
-    def count(
+    def record_use(
         self, region: RegionName, offered: int, charged: int, seconds: float, now: float
     ) -> None:
-        """Count what callers of a region asked for, and what was let through.
+        """Record the requests of a region's callers, and the admitted ones of them.
 
         Args:
-            region: Region of the hosts that were asked.
+            region: Region of the hosts that received the requests.
             offered: Units of all requests.
-            charged: Units of those that were let through.
-            seconds: Time in which this happened, where that is long; else 0.
+            charged: Units of the admitted requests.
+            seconds: Seconds over which the requests arrived; 0 if they are recent.
             now: Monotonic seconds.
         """
         self.advance(now)
@@ -133,26 +139,26 @@
         self.used.add(charged / spread, now)
         self.by_region.setdefault(region, RateMeter()).add(charged / spread, now)
         self.refused += max(0, offered - charged)
-        self._note_use(now)
+        self._sample_use(now)
 
-    def lower_to(self, level: float) -> None:
-        """Take over what another counter knows, where that is less."""
+    def lower_level_to(self, level: float) -> None:
+        """Lower the level to that of another counter, if that is less."""
         self._level = min(self._level, level)
 
     def level(self, now: float) -> float:
-        """Return the units that may be used at once; below 0: used in advance."""
+        """Return the units that may be used at once; negative: used in advance."""
         self.advance(now)
         return self._level
 
     def standing(
         self, name: OrganisationName, tolerance: Tolerance, now: float
     ) -> QuotaStanding:
-        """Return what hosts decide by."""
+        """Return the state of the quota that hosts admit requests by."""
         level = self.level(now)
-        borne = TOLERANCE_USED * tolerance.units(self.quota)
+        tolerated = TOLERANCE_SHARE * tolerance.units(self.quota)
         if self.quota.rate > 0:
-            borne *= self._refill / self.quota.rate
-        allowed = self._refill + (level + borne) / HORIZON
+            tolerated *= self._refill_rate / self.quota.rate
+        allowed = self._refill_rate + (level + tolerated) / HORIZON
         return QuotaStanding(
             name,
             round(level),
@@ -161,15 +167,15 @@
             round(self.used.rate(now)),
         )
 
-    def _most(self) -> float:
-        """Return the level at which the bucket is full."""
-        if not self._silent:
+    def _capacity(self) -> float:
+        """Return the capacity of the bucket, in units."""
+        if not self._unreachable:
             return self.quota.burst
-        return self.quota.burst * min(1.0, self._refill / self.quota.rate)
+        return self.quota.burst * min(1.0, self._refill_rate / self.quota.rate)
 
     def advance(self, now: float) -> None:
-        """Add what has become free since the last time."""
-        passed = max(0.0, now - self._at)
-        self._at = max(self._at, now)
-        self._level = min(self._most(), self._level + self._refill * passed)
-        self._withheld += (self.quota.rate - self._refill) * passed
+        """Add the units that have accrued since the last call."""
+        elapsed = max(0.0, now - self._updated_at)
+        self._updated_at = max(self._updated_at, now)
+        self._level = min(self._capacity(), self._level + self._refill_rate * elapsed)
+        self._withheld += (self.quota.rate - self._refill_rate) * elapsed
--- a/packages/node/src/bronzepoint_node/quota/_host_quota.py
+++ b/packages/node/src/bronzepoint_node/quota/_host_quota.py
@@ -1,4 +1,4 @@
-"""What one host lets through of one organisation's requests."""
+"""Admission of one organisation's requests on one host."""
 
 import random
 
@@ -12,78 +12,86 @@
 
 
 class HostQuota:
-    """Lets through the same share of requests as every other host does.
+    """Admits the same share of requests as every other host.
 
-    The share follows from what all hosts are asked for together, so it doesn't matter
-    at which hosts an organisation's callers are, or how many of these there are.
-    Requests are counted, not their units: large ones have the same chance as small
-    ones.
+    The share depends on the demand at all hosts together, so it doesn't matter at which
+    hosts an organisation's callers are, or how many hosts there are. The share applies
+    to the number of requests, not to their units: large ones are as likely to be
+    admitted as small ones.
 
     Args:
-        rng: Source of the point at which this host begins to count.
+        name: The organisation.
+        rng: Source of the initial phase, which differs between hosts.
 
     Attributes:
-        untold: What is to be reported.
-        standing: What the counter said last; None: nothing yet.
+        unreported: Use that is not yet reported to the counter.
+        standing: Latest standing from the counter; None: not known, or far below the
+            quota.
     """
 
     def __init__(self, name: OrganisationName, rng: random.Random) -> None:
-        self.untold = HostUse(name, 0, 0)
+        self.unreported = HostUse(name, 0, 0)
         self.standing: QuotaStanding | None = None
-        self._due = rng.random()
+        self._admission_credit = rng.random()
         self._used = RateMeter()
-        self._alone: TokenBucket | None = None
+        self._local_bucket: TokenBucket | None = None
 
-    def hear(self, standing: QuotaStanding | None) -> None:
-        """Take in what the counter says; None: the quota is far from used up."""
+    def apply_standing(self, standing: QuotaStanding | None) -> None:
+        """Apply the counter's latest standing; None: far below the quota."""
         self.standing = standing
-        self._alone = None
+        self._local_bucket = None
 
-    def take(self, cost: int) -> bool:
-        """Let a request through, or refuse it, by what the counter said last."""
-        self.untold.offered += cost
+    def admit(self, cost: int) -> bool:
+        """Return whether to admit a request, by the counter's latest standing."""
+        self.unreported.offered += cost
         share = self._share()
         if share >= 1.0:
             return True
-        self._due += share
-        if self._due < 1.0:
+        self._admission_credit += share
+        if self._admission_credit < 1.0:
             return False
-        self._due -= 1.0
+        self._admission_credit -= 1.0
         return True
 
-    def take_alone(self, quota: Quota, cost: int, hosts: int, now: float) -> bool:
-        """Let a request through, or refuse it, where no counter can be reached.
+    def admit_without_counter(
+        self, quota: Quota, cost: int, hosts: int, now: float
+    ) -> bool:
+        """Return whether to admit a request while no counter can be reached.
 
         Args:
             quota: Quota of the organisation.
             cost: Units of the request.
-            hosts: Entry hosts that live.
+            hosts: Number of live entry hosts.
             now: Monotonic seconds.
         """
-        self.untold.offered += cost
-        if self._alone is None:
-            rate = self._own_part(quota, hosts, now)
-            self._alone = TokenBucket(rate, rate, now)
-        return self._alone.take(cost, now)
+        self.unreported.offered += cost
+        if self._local_bucket is None:
+            rate = self._local_rate(quota, hosts, now)
+            self._local_bucket = TokenBucket(rate, rate, now)
+        return self._local_bucket.take(cost, now)
 
     def charge(self, cost: int, now: float) -> None:
-        """Count a request that is let through, or take one back."""
-        self.untold.charged += cost
+        """Charge an admitted request, or refund one with a negative cost."""
+        self.unreported.charged += cost
         self._used.add(cost, now)
 
     def _share(self) -> float:
-        """Return the share of requests to let through."""
+        """Return the share of requests to admit; 1 or more: all of them."""
         standing = self.standing
         if standing is None or standing.demand <= 0:
             return 1.0
-        allowed = standing.allowed - self.untold.charged / HORIZON
+        allowed = standing.allowed - self.unreported.charged / HORIZON
         return max(0.0, allowed / standing.demand)
 
-    def _own_part(self, quota: Quota, hosts: int, now: float) -> float:
-        """Return the units a second of this host, which with those of all others add up
-        to the quota."""
-        own = self._used.rate(now)
-        used = max(own, self.standing.used if self.standing is not None else own)
+    def _local_rate(self, quota: Quota, hosts: int, now: float) -> float:
+        """Return this host's share of the quota in units per second.
+
+        The shares of all hosts add up to the quota.
+        """
+        own_rate = self._used.rate(now)
+        used = max(
+            own_rate, self.standing.used if self.standing is not None else own_rate
+        )
         if used > quota.rate:
-            own *= quota.rate / used
-        return own + max(0.0, quota.rate - used) / max(1, hosts)
+            own_rate *= quota.rate / used
+        return own_rate + max(0.0, quota.rate - used) / max(1, hosts)
--- a/packages/node/src/bronzepoint_node/quota/_host_quotas.py
+++ b/packages/node/src/bronzepoint_node/quota/_host_quotas.py
@@ -1,4 +1,4 @@
-"""All quotas as one entry host knows them; reads no socket and no clock."""
+"""All quotas on one entry host; uses neither sockets nor the clock."""
 
 import random
 from dataclasses import dataclass
@@ -10,22 +10,25 @@
 from ._host_quota import HostQuota
 
 IDLE_INTERVAL = 1.0
-"""Seconds between two reports where nothing has changed: the host hears which
-organisations are near their quota."""
-ALONE_AFTER = 2.0
-"""Seconds without an answer after which this host goes by its own part of quotas."""
-KEPT = 30.0
-"""Seconds for which an organisation is kept that asks for nothing."""
-LEAST_RETRY = 0.25
-MOST_RETRY = 5.0
-"""Seconds after which a refused caller comes back."""
+"""Seconds between two reports while there is nothing to report: the replies name the
+organisations that are near their quota."""
+NO_COUNTER_AFTER = 2.0
+"""Seconds without a reply after which this host limits requests to its own share of the
+quotas."""
+RETENTION = 30.0
+"""Seconds for which the state of an organisation without requests is kept."""
+MIN_RETRY_AFTER = 0.25
+"""Minimum seconds after which a refused caller should retry."""
+MAX_RETRY_AFTER = 5.0
+"""Maximum seconds after which a refused caller should retry."""
 RETRY_SPREAD = (1.0, 1.6)
-"""Those refused at one moment come back one after another."""
+"""Range of the random factor on the retry delay, so that callers refused at the same
+moment don't retry together."""
 
 
 @dataclass(frozen=True)
 class Charge:
-    """What a request has used of its organisation's quota."""
+    """Units that a request was charged to its organisation's quota."""
 
     organisation: OrganisationName
     cost: int
@@ -33,11 +36,11 @@
 
 @dataclass(frozen=True)
 class OverQuota:
-    """A request that its organisation's quota doesn't allow now.
+    """Refusal of a request that exceeds its organisation's quota.
 
     Attributes:
-        retry_after: Seconds until there may be room.
-        note: What it was decided by, for the log.
+        retry_after: Seconds until the quota may allow the request.
+        note: State of the quota at the decision, for the log.
     """
 
     retry_after: float
@@ -45,15 +48,15 @@
 
 
 class HostQuotas:
-    """Lets requests through by what a counter has said last, and reports them.
+    """Admits requests by a counter's latest reply, and collects use to report.
 
     Args:
         region: Region of this host.
-        rng: Source of the random draws.
+        rng: Source of random numbers.
         now: Monotonic seconds.
 
     Attributes:
-        alone: True while no counter answers.
+        without_counter: True while no counter replies.
     """
 
     def __init__(self, region: RegionName, rng: random.Random, now: float) -> None:
@@ -62,11 +65,11 @@
         self._started = rng.getrandbits(40)
         self._number = 0
         self._organisations: dict[OrganisationName, HostQuota] = {}
-        self._asked_at: dict[OrganisationName, float] = {}
+        self._last_used_at: dict[OrganisationName, float] = {}
         self._unanswered: list[HostUse] = []
-        self._heard_at = now
-        self._told_at = float("-inf")
-        self.alone = False
+        self._last_contact_at = now
+        self._reported_at = float("-inf")
+        self.without_counter = False
 
     def __len__(self) -> int:
         return len(self._organisations)
@@ -78,84 +81,84 @@
         hosts: int,
         now: float,
     ) -> Charge | OverQuota | None:
-        """Charge a request to its organisation; None: nothing limits it.
+        """Charge a request to its organisation; None: no quota applies.
 
         Args:
-            organisation: Who asks; None: nobody who is known.
-            tokens: Tokens that the request says it may use; None: it doesn't.
-            hosts: Entry hosts that live.
+            organisation: Organisation of the caller; None: unknown caller.
+            tokens: Maximum tokens of the request; None: not specified.
+            hosts: Number of live entry hosts.
             now: Monotonic seconds.
         """
         quota = organisation.quota if organisation is not None else None
         if quota is None:
             return None
         name, cost = organisation.name, quota.cost(tokens)
-        held = self._keep(name, now)
-        self.alone = now - self._heard_at > ALONE_AFTER
-        if self.alone:
-            taken = held.take_alone(quota, cost, hosts, now)
+        host_quota = self._get_or_create(name, now)
+        self.without_counter = now - self._last_contact_at > NO_COUNTER_AFTER
+        if self.without_counter:
+            admitted = host_quota.admit_without_counter(quota, cost, hosts, now)
         else:
-            taken = held.take(cost)
-        if taken:
-            held.charge(cost, now)
+            admitted = host_quota.admit(cost)
+        if admitted:
+            host_quota.charge(cost, now)
             return Charge(name, cost)
-        standing = held.standing
-        ahead = max(0, -standing.level) if standing is not None else 0
-        wait = (ahead + cost) / quota.rate * self._rng.uniform(*RETRY_SPREAD)
-        note = f"{standing}, {now - self._heard_at:.2f} s old, costs {cost}"
-        return OverQuota(min(MOST_RETRY, max(LEAST_RETRY, wait)), note)
-
-    def give_back(self, charge: Charge, now: float) -> None:
-        """Take back what a request was charged that certainly didn't run."""
-        held = self._organisations.get(charge.organisation)
-        if held is not None:
-            held.charge(-charge.cost, now)
+        standing = host_quota.standing
+        debt = max(0, -standing.level) if standing is not None else 0
+        wait = (debt + cost) / quota.rate * self._rng.uniform(*RETRY_SPREAD)
+        note = f"{standing}, {now - self._last_contact_at:.2f} s old, costs {cost}"
+        return OverQuota(min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait)), note)
+
+    def refund(self, charge: Charge, now: float) -> None:
+        """Refund the charge of a request that certainly did not run."""
+        host_quota = self._organisations.get(charge.organisation)
+        if host_quota is not None:
+            host_quota.charge(-charge.cost, now)
 
     def report(self, now: float) -> QuotaReport | None:
-        """Return what a counter is to be told; None: there is nothing to tell yet.
+        """Return the next report to a counter; None: none is due.
 
-        What wasn't answered is told again before anything else, under its number.
+        A report without a reply is repeated, under the same number, before any other.
         """
         if not self._unanswered:
-            uses = self._untold()
-            if not uses and now - self._told_at < IDLE_INTERVAL:
+            uses = self._collect_unreported()
+            if not uses and now - self._reported_at < IDLE_INTERVAL:
                 return None
             self._number += 1
             self._unanswered = uses
-        self._told_at = now
+        self._reported_at = now
         return QuotaReport(self._region, self._started, self._number, self._unanswered)
 
-    def take_in(self, reply: QuotaReply, asked: float) -> None:
-        """Take in a counter's answer to the last report.
+    def apply_reply(self, reply: QuotaReply, sent_at: float) -> None:
+        """Apply a counter's reply to the last report.
 
         Args:
             reply: The answer.
             asked: When the report was sent, in monotonic seconds.
         """
         self._unanswered = []
-        self._heard_at = asked
-        self.alone = False
-        told = {standing.organisation: standing for standing in reply.standings}
-        for name in told.keys() - self._organisations.keys():
-            self._keep(name, asked)
-        for name, held in list(self._organisations.items()):
-            held.hear(told.get(name))
-            if asked - self._asked_at[name] > KEPT and name not in told:
-                del self._organisations[name], self._asked_at[name]
-
-    def _keep(self, name: OrganisationName, now: float) -> HostQuota:
-        held = self._organisations.get(name)
-        if held is None:
-            held = self._organisations[name] = HostQuota(name, self._rng)
-        self._asked_at[name] = now
-        return held
-
-    def _untold(self) -> list[HostUse]:
-        untold = []
-        for name, held in self._organisations.items():
-            if held.untold.offered or held.untold.charged:
-                if held.standing is not None:
-                    held.untold.level = held.standing.level
-                untold.append(held.untold)
-                held.untold = HostUse(name, 0, 0)
-        return untold
+        self._last_contact_at = sent_at
+        self.without_counter = False
+        standings = {standing.organisation: standing for standing in reply.standings}
+        for name in standings.keys() - self._organisations.keys():
+            self._get_or_create(name, sent_at)
+        for name, host_quota in list(self._organisations.items()):
+            host_quota.apply_standing(standings.get(name))
+            if sent_at - self._last_used_at[name] > RETENTION and name not in standings:
+                del self._organisations[name], self._last_used_at[name]
+
+    def _get_or_create(self, name: OrganisationName, now: float) -> HostQuota:
+        host_quota = self._organisations.get(name)
+        if host_quota is None:
+            host_quota = self._organisations[name] = HostQuota(name, self._rng)
+        self._last_used_at[name] = now
+        return host_quota
+
+    def _collect_unreported(self) -> list[HostUse]:
+        unreported = []
+        for name, host_quota in self._organisations.items():
+            if host_quota.unreported.offered or host_quota.unreported.charged:
+                if host_quota.standing is not None:
+                    host_quota.unreported.level = host_quota.standing.level
+                unreported.append(host_quota.unreported)
+                host_quota.unreported = HostUse(name, 0, 0)
+        return unreported
--- a/packages/node/src/bronzepoint_node/quota/_ledger.py
+++ b/packages/node/src/bronzepoint_node/quota/_ledger.py
@@ -1,4 +1,4 @@
-"""The sums of all counters, as one of them knows them."""
+"""Use of all organisations, summed by one counter over its own and others' reports."""
 
 from collections.abc import Iterable, Mapping
 
@@ -13,56 +13,59 @@
 )
 from bronzepoint_schema.ids import HostName, OrganisationName, RegionName
 
-from ._account import SILENT_AFTER, Account
-from ._regions import Parts
+from ._account import UNREACHABLE_AFTER, Account
+from ._regions import RegionShares
 from ._tolerance import Tolerance
 
-REPORTING = 2.5
-"""Seconds after its last report for which a host counts as reporting here."""
-KEPT_REGION = 60.0
-"""Seconds for which a part of each quota is left to a region that isn't heard: it may
-be cut off and serve its callers. After that it is taken to be lost."""
-LEARNING = 2.0
-"""Seconds after its start in which a counter takes over what others know."""
+REPORT_RETENTION = 2.5
+"""Seconds after the last report of a region's hosts for which the region counts as
+reporting to this counter."""
+REGION_RETENTION = 60.0
+"""Seconds for which a share of each quota is reserved for an unreachable region, which
+may be partitioned and still serve its callers. After that it is considered failed."""
+WARM_UP = 2.0
+"""Seconds after its start in which a counter adopts levels known to others."""
 LOW_LEVEL = 0.5
-"""Part of a burst below which counters that have just started are told the level."""
-NEAR_SHARE = 0.5
-"""Part of what is allowed from which on an organisation counts as near its quota."""
+"""Share of a burst below which the level is sent to counters that have just started."""
+NEAR_QUOTA_SHARE = 0.5
+"""Demand, as a share of the allowed rate, above which an organisation counts as near
+its quota."""
 
 
-class _Told:
-    """What another counter has told since one of its starts."""
+class _CounterSums:
+    """Latest sums received from one incarnation of another counter."""
 
     def __init__(self, started: int) -> None:
         self.started = started
         self._sums: dict[tuple[OrganisationName, RegionName], tuple[int, int]] = {}
 
-    def take(self, use: RegionUse) -> tuple[int, int]:
-        """Take newer sums; return the units that came in addition."""
+    def update(self, use: RegionUse) -> tuple[int, int]:
+        """Store newer sums; return the units added since the previous ones."""
         key = (use.organisation, use.region)
         offered, charged = self._sums.get(key, (0, 0))
         self._sums[key] = (use.offered, use.charged)
         return use.offered - offered, use.charged - charged
 
-    def take_all(self, uses: list[RegionUse]) -> None:
-        """Take sums that are known otherwise."""
+    def update_all(self, uses: list[RegionUse]) -> None:
+        """Store sums whose units are already contained in the levels."""
         for use in uses:
-            self.take(use)
+            self.update(use)
 
 
 class Ledger:
-    """Counts reports of hosts, and hears of what other counters have counted.
+    """Sums the reports of hosts, and merges the sums of other counters.
 
-    Each counter tells sums since its start: a message that is lost, late or doubled
-    does no harm.
+    Each counter sends cumulative sums since its start, so that messages may be lost,
+    delayed or duplicated without harm.
 
     Args:
-        tolerance: What is borne beyond quotas.
-        regions: All regions, also those that haven't been heard yet.
+        tolerance: Tolerated use beyond quotas.
+        regions: All configured regions, including those without any report so far.
         now: Monotonic seconds.
 
     Attributes:
-        owes_all: Another counter was heard of that hasn't been told all sums yet.
+        full_sums_due: True if a counter that appeared recently has not yet been sent
+            all sums.
     """
 
     def __init__(
@@ -71,116 +74,133 @@
         self._tolerance = tolerance
         self._started = now
         self._accounts: dict[OrganisationName, Account] = {}
-        self._own: dict[tuple[OrganisationName, RegionName], tuple[int, int]] = {}
-        self._untold: set[tuple[OrganisationName, RegionName]] = set()
-        self._told: dict[HostName, _Told] = {}
-        self._reported: dict[HostName, tuple[int, int]] = {}
-        self._reporting: dict[RegionName, float] = {}
-        self._heard: dict[RegionName, float] = {}
-        self._unheard = frozenset(regions)
-        self._parts = Parts(frozenset(), self._unheard)
-        self._near: set[OrganisationName] = set()
-        self.owes_all = True
+        self._own_sums: dict[tuple[OrganisationName, RegionName], tuple[int, int]] = {}
+        self._unsent: set[tuple[OrganisationName, RegionName]] = set()
+        self._counter_sums: dict[HostName, _CounterSums] = {}
+        self._last_reports: dict[HostName, tuple[int, int]] = {}
+        self._last_report_at: dict[RegionName, float] = {}
+        self._last_contact_at: dict[RegionName, float] = {}
+        self._unseen = frozenset(regions)
+        self._shares = RegionShares(frozenset(), self._unseen)
+        self._near_quota: set[OrganisationName] = set()
+        self.full_sums_due = True
 
     def set_quotas(self, quotas: Mapping[OrganisationName, Quota], now: float) -> None:
-        """Take over the quotas in force."""
+        """Apply the quotas that are in effect."""
         for name in self._accounts.keys() - quotas.keys():
             del self._accounts[name]
         for name, quota in quotas.items():
             account = self._accounts.get(name)
             if account is None:
-                account = self._accounts[name] = Account(quota, self._parts, now)
+                account = self._accounts[name] = Account(quota, self._shares, now)
             elif account.quota == quota:
                 continue
             account.set_quota(quota, now)
-            account.share_out(self._parts, self._tolerance, now)
+            account.redistribute(self._shares, self._tolerance, now)
 
     def answer(self, host: HostName, report: QuotaReport, now: float) -> QuotaReply:
-        """Count what a host reports, and return how its organisations stand."""
+        """Record a host's report, and return the standings of its organisations."""
         number = (report.started, report.number)
-        # Where its answer was lost, a report is sent again.
-        if self._reported.get(host) != number:
-            self._reported[host] = number
-            self._count_report(report, now)
-        self._reporting[report.region] = now
-        self._note_heard(report.region, now)
+        # A host repeats a report if the reply was lost.
+        if self._last_reports.get(host) != number:
+            self._last_reports[host] = number
+            self._record_report(report, now)
+        self._last_report_at[report.region] = now
+        self._record_contact(report.region, now)
         wanted = {use.organisation for use in report.uses}
         return QuotaReply(self.standings(wanted, now))
 
-    def _count_report(self, report: QuotaReport, now: float) -> None:
+    def _record_report(self, report: QuotaReport, now: float) -> None:
         for use in report.uses:
             key = (use.organisation, report.region)
-            offered, charged = self._own.get(key, (0, 0))
-            self._own[key] = (offered + use.offered, charged + use.charged)
-            self._untold.add(key)
-            self._learn(use.organisation, use.level, now)
-            self._count(*key, use.offered, use.charged, 0.0, now)
-
-    def hear(self, counter: HostName, sums: QuotaSums, now: float) -> None:
-        """Take in what another counter has counted."""
-        silent_for = {
-            region: now - self._heard.get(region, now) for region in sums.regions
+            offered, charged = self._own_sums.get(key, (0, 0))
+            self._own_sums[key] = (offered + use.offered, charged + use.charged)
+            self._unsent.add(key)
+            self._adopt_level(use.organisation, use.level, now)
+            self._record_use(*key, use.offered, use.charged, 0.0, now)
+
+    def merge_sums(self, counter: HostName, sums: QuotaSums, now: float) -> None:
+        """Merge the sums of another counter."""
+        since_contact = {
+            region: now - self._last_contact_at.get(region, now)
+            for region in sums.regions
         }
         for region in sums.regions:
-            self._note_heard(region, now)
-        known = self._told.get(counter)
-        if known is None or known.started != sums.started:
-            # It may have just started, and doesn't know what this one has counted.
-            self.owes_all = True
+            self._record_contact(region, now)
+        counter_sums = self._counter_sums.get(counter)
+        if counter_sums is None or counter_sums.started != sums.started:
+            # It may have just started, without the sums of this counter.
+            self.full_sums_due = True
             if not sums.whole:
                 return
-            # What it counted before it was heard of is in the levels that it tells.
-            known = self._told[counter] = _Told(sums.started)
-            known.take_all(sums.uses)
+            # The levels that it sends contain everything counted before this message.
+            counter_sums = self._counter_sums[counter] = _CounterSums(sums.started)
+            counter_sums.update_all(sums.uses)
         for use in sums.uses:
-            offered, charged = known.take(use)
-            self._count(
+            offered, charged = counter_sums.update(use)
+            self._record_use(
                 use.organisation,
                 use.region,
                 offered,
                 charged,
-                silent_for.get(use.region, 0.0),
+                since_contact.get(use.region, 0.0),
                 now,
             )
-            self._look(use.organisation, now)
-        for told in sums.levels:
-            self._learn(told.organisation, told.level, now)
+            self._update_standing(use.organisation, now)
+        for quota_level in sums.levels:
+            self._adopt_level(quota_level.organisation, quota_level.level, now)
 
-    def _learn(self, name: OrganisationName, level: int, now: float) -> None:
-        """Take over a level that was known before this counter has started."""
+    def _adopt_level(self, name: OrganisationName, level: int, now: float) -> None:
+        """Adopt a level from before the start of this counter."""
         account = self._accounts.get(name)
-        if account is not None and now - self._started < LEARNING:
-            account.lower_to(level)
-
-    def look_around(self, now: float) -> None:
-        """Notice which regions have fallen silent, or are heard again."""
-        # Hosts that have nothing to tell report seldom; the other counters are told
-        # that they are there.
-        self._heard.update(dict.fromkeys(self._reporting_here(now), now))
-        known = {r for r, at in self._heard.items() if now - at <= KEPT_REGION}
-        silent = {r for r in known if now - self._heard[r] > SILENT_AFTER}
-        if now - self._started <= KEPT_REGION:
-            silent |= self._unheard
-        parts = Parts(frozenset(known - silent), frozenset(silent))
-        if parts == self._parts:
+        if account is not None and now - self._started < WARM_UP:
+            account.lower_level_to(level)
+
+    def update_reachability(self, now: float) -> None:
+        """Detect regions that have become unreachable, or reachable again."""
+        # Idle hosts report rarely. Their region counts as reachable as long as it is
+        # among those reporting here, which the other counters are sent too.
+        self._last_contact_at.update(dict.fromkeys(self._reporting_regions(now), now))
+        known_regions = {
+            r for r, at in self._last_contact_at.items() if now - at <= REGION_RETENTION
+        }
+        unreachable = {
+            r
+            for r in known_regions
+            if now - self._last_contact_at[r] > UNREACHABLE_AFTER
+        }
+        if now - self._started <= REGION_RETENTION:
+            unreachable |= self._unseen
+        shares = RegionShares(
+            frozenset(known_regions - unreachable), frozenset(unreachable)
+        )
+        if shares == self._shares:
             return
-        self._parts = parts
+        self._shares = shares
         for account in self._accounts.values():
-            account.share_out(parts, self._tolerance, now)
+            account.redistribute(shares, self._tolerance, now)
 
     def sums(self, started: int, whole: bool, now: float) -> QuotaSums:
-        """Return what other counters aren't told yet, or all that was counted here."""
-        keys = self._own if whole else self._untold
-        uses = [RegionUse(*key, *self._own[key]) for key in keys]
-        self._untold = set()
+        """Return the sums not yet sent to the other counters, or all sums.
+
+        Args:
+            started: Identifies this start of the counter.
+            whole: Return all sums, also those that have been sent.
+            now: Monotonic seconds.
+        """
+        keys = self._own_sums if whole else self._unsent
+        uses = [RegionUse(*key, *self._own_sums[key]) for key in keys]
+        self._unsent = set()
         if whole:
-            self.owes_all = False
-        regions = self._reporting_here(now)
+            self.full_sums_due = False
+        regions = self._reporting_regions(now)
         levels = self._low_levels(now) if whole else []
         return QuotaSums(started, whole, sorted(regions), uses, levels)
 
-    def _reporting_here(self, now: float) -> list[RegionName]:
-        return [r for r, at in self._reporting.items() if now - at <= REPORTING]
+    def _reporting_regions(self, now: float) -> list[RegionName]:
+        return [
+            r for r, at in self._last_report_at.items() if now - at <= REPORT_RETENTION
+        ]
 
     def _low_levels(self, now: float) -> list[QuotaLevel]:
         levels = {name: a.level(now) for name, a in self._accounts.items()}
@@ -193,49 +213,51 @@
     def standings(
         self, wanted: set[OrganisationName], now: float
     ) -> list[QuotaStanding]:
-        """Return how some organisations stand, and all that are near their quota."""
+        """Return the standings of ``wanted`` and all organisations near their quota."""
         return [
             standing
-            for name in [*wanted, *(self._near - wanted)]
-            if (standing := self._look(name, now)) is not None
-            and (name in wanted or name in self._near)
+            for name in [*wanted, *(self._near_quota - wanted)]
+            if (standing := self._update_standing(name, now)) is not None
+            and (name in wanted or name in self._near_quota)
         ]
 
-    def _look(self, name: OrganisationName, now: float) -> QuotaStanding | None:
-        """Return how an organisation stands, and note whether it is near its quota.
+    def _update_standing(
+        self, name: OrganisationName, now: float
+    ) -> QuotaStanding | None:
+        """Return an organisation's standing, and record whether it is near its quota.
 
-        Looked at where they are counted, those that are near are found without a look
-        at all.
+        Called whenever use is recorded, so that the organisations near their quota are
+        known without a scan over all of them.
         """
         account = self._accounts.get(name)
         if account is None:
-            self._near.discard(name)
+            self._near_quota.discard(name)
             return None
         standing = account.standing(name, self._tolerance, now)
-        if standing.demand > NEAR_SHARE * standing.allowed:
-            self._near.add(name)
+        if standing.demand > NEAR_QUOTA_SHARE * standing.allowed:
+            self._near_quota.add(name)
         else:
-            self._near.discard(name)
+            self._near_quota.discard(name)
         return standing
 
     def refused(self, name: OrganisationName) -> int:
-        """Return the units of an organisation that were refused since the start."""
+        """Return the units of an organisation refused since this counter started."""
         account = self._accounts.get(name)
         return account.refused if account is not None else 0
 
     @property
-    def parts(self) -> Parts:
-        """Return which regions are heard."""
-        return self._parts
-
-    def _note_heard(self, region: RegionName, now: float) -> None:
-        self._heard[region] = now
-        self._unheard -= {region}
-        if region in self._parts.silent or region not in self._parts.heard:
-            # What was withheld for it is given back before its own sums are counted.
-            self.look_around(now)
-
-    def _count(
+    def shares(self) -> RegionShares:
+        """Which regions are reachable."""
+        return self._shares
+
+    def _record_contact(self, region: RegionName, now: float) -> None:
+        self._last_contact_at[region] = now
+        self._unseen -= {region}
+        if region in self._shares.unreachable or region not in self._shares.reachable:
+            # The units withheld for it are restored before its own use is recorded.
+            self.update_reachability(now)
+
+    def _record_use(
         self,
         name: OrganisationName,
         region: RegionName,
@@ -246,4 +268,4 @@
     ) -> None:
         account = self._accounts.get(name)
         if account is not None:
-            account.count(region, offered, charged, seconds, now)
+            account.record_use(region, offered, charged, seconds, now)
--- a/packages/node/src/bronzepoint_node/quota/_quota_counter.py
+++ b/packages/node/src/bronzepoint_node/quota/_quota_counter.py
@@ -1,4 +1,4 @@
-"""A counter of quotas, on a host of the core."""
+"""Counter of quota use, which runs on core hosts."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -22,26 +22,27 @@
 from ._ledger import Ledger
 from ._tolerance import Tolerance
 
-TELL_INTERVAL = 0.1
-"""Seconds between two words to the other counters where something was counted,"""
-PULSE = 0.25
-"""and where nothing was: a region that says nothing counts as cut off."""
-REFRESH = 1.0
-"""Seconds after which all sums are told again, as a word may have been lost."""
+SUMS_INTERVAL = 0.1
+"""Seconds between two messages to the other counters while sums change."""
+HEARTBEAT_INTERVAL = 0.25
+"""Maximum seconds between two messages to the other counters if no sum has changed: a
+region without messages counts as partitioned."""
+FULL_SUMS_INTERVAL = 1.0
+"""Seconds after which all sums are sent again, as messages may have been lost."""
 
 _log = get_logger("quota")
 
 
 class QuotaCounter:
-    """Counts what the entry hosts of a region report, and tells the other counters.
+    """Sums the use that entry hosts report, and exchanges sums with other counters.
 
     Args:
-        name: This host.
+        name: Name of this host.
         peers: Links to the other hosts.
-        registry: The hosts of the core that live.
-        served: Gives the catalogue in force; None: there is none yet.
-        tolerance: What is borne beyond quotas.
-        regions: All regions.
+        registry: Source of the live core hosts.
+        served: Returns the current catalogue; None: there is none yet.
+        tolerance: Tolerated use beyond quotas.
+        regions: All configured regions.
     """
 
     def __init__(
@@ -60,31 +61,31 @@
         self._ledger = Ledger(tolerance, regions, monotonic())
         self._started = random.getrandbits(40)
         self._version = -1
-        self._told_at = 0.0
-        self._told_all_at = 0.0
+        self._sent_at = 0.0
+        self._sent_all_at = 0.0
         self._task: curio.Task | None = None
         peers.register(Area.QUOTA, QuotaMessage, self._handle)
 
     async def start(self) -> None:
-        """Begin to tell the other counters."""
+        """Start sending sums to the other counters."""
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
-        """Stop telling."""
+        """Stop sending sums."""
         if self._task is not None:
             await self._task.cancel()
 
     def states(self) -> list[OrganisationState]:
-        """Return all organisations and how they stand, for operators."""
+        """Return the quota state of all organisations, for operators."""
         catalogue = self._served()
         if catalogue is None or not catalogue.organisations:
             return []
         self._update()
         now = monotonic()
         names = set(catalogue.organisations)
-        told = {s.organisation: s for s in self._ledger.standings(names, now)}
+        standings = {s.organisation: s for s in self._ledger.standings(names, now)}
         return [
-            _state(organisation, told.get(name), self._ledger.refused(name))
+            _state(organisation, standings.get(name), self._ledger.refused(name))
             for name, organisation in sorted(catalogue.organisations.items())
         ]
 
@@ -95,11 +96,11 @@
             case QuotaReport():
                 return self._ledger.answer(peer, message, now)
             case QuotaSums():
-                self._ledger.hear(peer, message, now)
+                self._ledger.merge_sums(peer, message, now)
         return None
 
     def _update(self) -> None:
-        """Take over the quotas of a catalogue that has come into force."""
+        """Apply the quotas of a new catalogue."""
         catalogue = self._served()
         if catalogue is None or catalogue.version == self._version:
             return
@@ -113,24 +114,26 @@
 
     async def _run(self) -> None:
         while True:
-            await curio.sleep(TELL_INTERVAL)
-            self._tell(monotonic())
+            await curio.sleep(SUMS_INTERVAL)
+            self._send_sums(monotonic())
 
-    def _tell(self, now: float) -> None:
+    def _send_sums(self, now: float) -> None:
         self._update()
-        before = self._ledger.parts
-        self._ledger.look_around(now)
-        if self._ledger.parts.silent != before.silent:
-            silent = sorted(self._ledger.parts.silent)
-            _log.info("regions that count", silent=silent)
-        whole = self._ledger.owes_all or now - self._told_all_at >= REFRESH
+        previous = self._ledger.shares
+        self._ledger.update_reachability(now)
+        if self._ledger.shares.unreachable != previous.unreachable:
+            unreachable = sorted(self._ledger.shares.unreachable)
+            _log.info("regions that count", silent=unreachable)
+        whole = (
+            self._ledger.full_sums_due or now - self._sent_all_at >= FULL_SUMS_INTERVAL
+        )
         sums = self._ledger.sums(self._started, whole, now)
-        is_due = now - self._told_at >= PULSE
+        is_due = now - self._sent_at >= HEARTBEAT_INTERVAL
         if not sums.uses and not is_due:
             return
-        self._told_at = now
+        self._sent_at = now
         if whole:
-            self._told_all_at = now
+            self._sent_all_at = now
         for host in self._registry.core():
             if host.name != self._name:
                 self._peers.post(host.name, Area.QUOTA, sums)
--- a/packages/node/src/bronzepoint_node/quota/_quotas.py
+++ b/packages/node/src/bronzepoint_node/quota/_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas at an entry host: each request is let through or refused without a trip."""
+"""Quota enforcement on an entry host, without a network round trip per request."""
 
 import random
 from collections.abc import Callable
@@ -17,26 +17,26 @@
 from ._host_quotas import Charge, HostQuotas, OverQuota
 
 REPORT_INTERVAL = 0.1
-"""Seconds between two reports."""
+"""Seconds between two reports to a counter."""
 REPLY_TIMEOUT = 0.3
-"""Seconds to wait for a counter; another one is told the same then."""
-AVOIDED = 2.0
-"""Seconds for which a counter that didn't answer isn't asked."""
+"""Seconds to wait for a counter's reply; the report then goes to another counter."""
+AVOID_TIME = 2.0
+"""Seconds for which a counter that didn't reply gets no reports."""
 _KEY = "counter of quotas"
 
 _log = get_logger("quota")
 
 
 class Quotas:
-    """Tells a counter on a host of the core what is used here, and decides by its word.
+    """Reports use to a counter on a core host, and admits requests by its replies.
 
     Args:
         region: Region of this host.
         peers: Links to the other hosts.
-        registry: The hosts of the core that live.
-        hosts: Gives the number of entry hosts that live.
+        registry: Source of the live core hosts.
+        hosts: Returns the number of live entry hosts.
         metrics: Counters.
-        rng: Source of the random draws.
+        rng: Source of random numbers.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         peers.register(Area.QUOTA, QuotaMessage, self._ignore)
 
     async def start(self) -> None:
-        """Begin to report."""
+        """Start reporting."""
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
@@ -70,24 +70,24 @@
     def take(
         self, organisation: Organisation | None, tokens: int | None
     ) -> Charge | OverQuota | None:
-        """Charge a request to its organisation; None: nothing limits it.
+        """Charge a request to its organisation; None: no quota applies.
 
         Args:
-            organisation: Who asks; None: nobody who is known.
-            tokens: Tokens that the request says it may use; None: it doesn't.
+            organisation: Organisation of the caller; None: unknown caller.
+            tokens: Maximum tokens of the request; None: not specified.
         """
-        answer = self._quotas.take(organisation, tokens, self._hosts(), monotonic())
-        if answer is not None and self._quotas.alone:
+        charge = self._quotas.take(organisation, tokens, self._hosts(), monotonic())
+        if charge is not None and self._quotas.without_counter:
             self._metrics.incr("quota.alone")
-        return answer
+        return charge
 
-    def give_back(self, charge: Charge) -> None:
-        """Take back what a request was charged that certainly didn't run."""
+    def refund(self, charge: Charge) -> None:
+        """Refund the charge of a request that certainly did not run."""
         self._metrics.incr("quota.given_back")
-        self._quotas.give_back(charge, monotonic())
+        self._quotas.refund(charge, monotonic())
 
     async def _ignore(self, peer: HostName, message: QuotaMessage) -> None:
-        """Entry hosts only report; what comes unasked is for counters."""
+        """Ignore a message that isn't a reply: entry hosts only send reports."""
 
     async def _run(self) -> None:
         while True:
@@ -96,22 +96,25 @@
             await curio.sleep(max(0.0, began + REPORT_INTERVAL - monotonic()))
 
     async def _report(self, now: float) -> None:
-        counter = self._counter(now)
+        counter = self._choose_counter(now)
         report = self._quotas.report(now) if counter is not None else None
         if report is None:
             return
         try:
             reply = await self._peers.call(counter, Area.QUOTA, report, REPLY_TIMEOUT)
         except PeerError as exc:
-            self._avoided_until[counter] = now + AVOIDED
+            self._avoided_until[counter] = now + AVOID_TIME
             self._metrics.incr("quota.unanswered")
             _log.info("quota counter lost", counter=counter, reason=str(exc))
             return
-        self._quotas.take_in(reply, now)
+        self._quotas.apply_reply(reply, now)
         self._metrics.gauge("quota.kept", len(self._quotas))
 
-    def _counter(self, now: float) -> HostName | None:
-        """Return whom to tell: all hosts of a region tell the same one, if they can."""
+    def _choose_counter(self, now: float) -> HostName | None:
+        """Return the counter to report to; None: no core host is live.
+
+        All hosts of a region report to the same counter, unless they can't reach it.
+        """
         core = self._registry.core()
         names = nearest_core(core, self._region, self._avoided_until, now)
         names = names or [host.name for host in core]
--- a/packages/node/src/bronzepoint_node/quota/_rate_meter.py
+++ b/packages/node/src/bronzepoint_node/quota/_rate_meter.py
@@ -1,23 +1,23 @@
-"""A rate measured from single amounts."""
+"""Exponentially weighted rate of single amounts."""
 
 import math
 
-MEMORY = 1.0
-"""Seconds after which an amount weighs a third of what it did."""
+TIME_CONSTANT = 1.0
+"""Time constant in seconds: the weight of an amount falls to about a third (1/e)."""
 
 
 class RateMeter:
-    """Units a second of late, by an exponential mean."""
+    """Measures the recent rate in units per second, as an exponential average."""
 
     def __init__(self) -> None:
         self._value = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count an amount; a negative one takes an earlier one back."""
-        self._value = max(0.0, self.rate(now) + amount / MEMORY)
-        self._at = now
+        """Add an amount; a negative one reverses an earlier one."""
+        self._value = max(0.0, self.rate(now) + amount / TIME_CONSTANT)
+        self._updated_at = now
 
     def rate(self, now: float) -> float:
-        """Return the units a second."""
-        return self._value * math.exp(min(0.0, self._at - now) / MEMORY)
+        """Return the rate in units per second."""
+        return self._value * math.exp(min(0.0, self._updated_at - now) / TIME_CONSTANT)
--- a/packages/node/src/bronzepoint_node/quota/_regions.py
+++ b/packages/node/src/bronzepoint_node/quota/_regions.py
@@ -1,4 +1,4 @@
-"""How a quota is parted between regions that don't hear of each other."""
+"""Division of a quota between regions that can't reach each other."""
 
 from collections.abc import Mapping
 
@@ -7,38 +7,42 @@
 from bronzepoint_schema.ids import RegionName
 
 USED_WEIGHT = 0.5
-"""Part of a quota that is parted by what each region used before; the rest in equal
-parts, for regions whose callers become more meanwhile."""
+"""Part of a quota that is divided by the earlier use of each region. The rest is
+divided equally, for regions whose demand grows during a network partition."""
 
 
-class Parts(Struct, frozen=True):
-    """Which regions are heard of those that count.
+class RegionShares(Struct, frozen=True):
+    """Reachable and unreachable regions, which share each quota.
 
-    All regions part a quota by what they told each other last, so that the parts of
-    both sides of a cut add up to one quota.
+    All regions divide a quota by the use that they last reported to each other, so that
+    the shares of both sides of a partition add up to one quota.
+
+    Attributes:
+        reachable: Regions with recent reports.
+        unreachable: Regions without, for which a share is reserved.
     """
 
-    heard: frozenset[RegionName]
-    silent: frozenset[RegionName] = frozenset()
+    reachable: frozenset[RegionName]
+    unreachable: frozenset[RegionName] = frozenset()
 
     @property
-    def all_heard(self) -> bool:
-        """Tell whether what all regions use is known."""
-        return not self.silent
+    def all_reachable(self) -> bool:
+        """Whether the current use of all regions is known."""
+        return not self.unreachable
 
-    def part_of(
-        self, wanted: frozenset[RegionName], used: Mapping[RegionName, float]
+    def share_of(
+        self, selected: frozenset[RegionName], used: Mapping[RegionName, float]
     ) -> float:
-        """Return the part of a quota that some of the regions have together.
+        """Return the total share of a quota for some of the regions, from 0 to 1.
 
         Args:
-            wanted: These regions.
-            used: Units a second that each region used, as far as it was told.
+            selected: These regions.
+            used: Last reported use of each region, in units per second.
         """
-        regions = self.heard | self.silent
+        regions = self.reachable | self.unreachable
         total = sum(used.get(region, 0.0) for region in regions)
-        equal = len(wanted) / len(regions)
+        equal = len(selected) / len(regions)
         if total <= 0:
             return equal
-        by_use = sum(used.get(region, 0.0) for region in wanted) / total
+        by_use = sum(used.get(region, 0.0) for region in selected) / total
         return USED_WEIGHT * by_use + (1 - USED_WEIGHT) * equal
--- a/packages/node/src/bronzepoint_node/quota/_tolerance.py
+++ b/packages/node/src/bronzepoint_node/quota/_tolerance.py
@@ -1,4 +1,4 @@
-"""How far use may go beyond a quota before it counts as broken."""
+"""Tolerated use beyond a quota."""
 
 from msgspec import Struct
 
@@ -6,12 +6,12 @@
 
 
 class Tolerance(Struct, frozen=True):
-    """What operators bear beyond quotas, since hosts learn of each other late.
+    """Use beyond quotas that operators tolerate, as hosts exchange their use late.
 
     Attributes:
-        window: Seconds over which use is looked at.
-        excess: Part of what a quota gives in a window.
-        slack: Units besides.
+        window: Seconds over which use is measured.
+        excess: Tolerated excess, as a share of the quota's units in one window.
+        slack: Tolerated units in addition.
     """
 
     window: float = 8.0
@@ -19,9 +19,9 @@
     slack: float = 0.0
 
     def units(self, quota: Quota) -> float:
-        """Return the units beyond a quota that are borne in one window."""
+        """Return the units beyond a quota that are tolerated in one window."""
         return self.excess * (quota.rate * self.window + quota.burst) + self.slack
 
     def rate(self, quota: Quota) -> float:
-        """Return the units a second beyond its rate that are borne for good."""
+        """Return the units per second beyond a quota that are always tolerated."""
         return self.excess * quota.rate + self.slack / self.window
--- a/packages/node/src/bronzepoint_node/relay/_reception.py
+++ b/packages/node/src/bronzepoint_node/relay/_reception.py
@@ -133,7 +133,7 @@
     def refund(self, call: Call) -> None:
         """Refund the quota charge of a request that certainly did not run."""
         if call.charge is not None and not call.may_have_run:
-            self._quotas.give_back(call.charge)
+            self._quotas.refund(call.charge)
 
     async def _charge(self, call: Call) -> bool:
         """Charge a request to its organisation; False: refused as over quota."""
--- a/tests/_quota_net.py
+++ b/tests/_quota_net.py
@@ -1,4 +1,4 @@
-"""Entry hosts and counters of quotas in simulated time, with cuts and deaths."""
+"""Simulation of entry hosts and quota counters, with network partitions and crashes."""
 
 import heapq
 import itertools
@@ -7,17 +7,17 @@
 
 from bronzepoint_node.fleet import Organisation
 from bronzepoint_node.quota import Charge, HostQuotas, Ledger
-from bronzepoint_node.quota._quota_counter import PULSE, REFRESH
-from bronzepoint_node.quota._quotas import AVOIDED, REPLY_TIMEOUT, REPORT_INTERVAL
+from bronzepoint_node.quota._quota_counter import FULL_SUMS_INTERVAL, HEARTBEAT_INTERVAL
+from bronzepoint_node.quota._quotas import AVOID_TIME, REPLY_TIMEOUT, REPORT_INTERVAL
 
 STEP = 0.02
-"""Seconds between two looks at all hosts."""
-NEAR, FAR = 0.001, 0.08
-"""Seconds of a trip inside a region, and to another one."""
+"""Seconds of simulated time per step."""
+LOCAL_DELAY, REMOTE_DELAY = 0.001, 0.08
+"""Seconds that a message takes inside a region, and to another one."""
 
 
 class Counter:
-    """A host of the core that counts."""
+    """A core host with a quota counter."""
 
     def __init__(self, net, name, region):
         self.net, self.name, self.region = net, name, region
@@ -28,26 +28,30 @@
         self.ledger = Ledger(self.net.tolerance, self.net.names, self.net.now)
         self.ledger.set_quotas(self.net.quotas(), self.net.now)
         self.number = next(self.net.numbers)
-        self.told_at = self.told_all_at = -1.0
+        self.sent_at = self.sent_all_at = -1.0
 
-    def tell(self, now):
-        self.ledger.look_around(now)
-        whole = self.ledger.owes_all or now - self.told_all_at >= REFRESH
+    def send_sums(self, now):
+        self.ledger.update_reachability(now)
+        whole = (
+            self.ledger.full_sums_due or now - self.sent_all_at >= FULL_SUMS_INTERVAL
+        )
         sums = self.ledger.sums(self.number, whole, now)
-        if not sums.uses and now - self.told_at < PULSE:
+        if not sums.uses and now - self.sent_at < HEARTBEAT_INTERVAL:
             return
-        self.told_at = now
-        self.told_all_at = now if whole else self.told_all_at
+        self.sent_at = now
+        self.sent_all_at = now if whole else self.sent_all_at
         for other in self.net.counters:
             if other is not self:
-                self.net.post(self, other, lambda o=other: o.hear(self.name, sums))
+                self.net.post(
+                    self, other, lambda o=other: o.merge_sums(self.name, sums)
+                )
 
-    def hear(self, name, sums):
-        self.ledger.hear(name, sums, self.net.now)
+    def merge_sums(self, name, sums):
+        self.ledger.merge_sums(name, sums, self.net.now)
 
     def answer(self, host, report):
         reply = self.ledger.answer(host.name, report, self.net.now)
-        self.net.post(self, host, lambda: host.take_in(reply, report))
+        self.net.post(self, host, lambda: host.receive_reply(reply, report))
 
 
 class Host:
@@ -55,47 +59,49 @@
 
     def __init__(self, net, name, region):
         self.net, self.name, self.region = net, name, region
-        self.avoided = {}
+        self.avoided_until = {}
         self.next_report = net.rng.random() * REPORT_INTERVAL
         self.start()
 
     def start(self):
         self.alive = True
         self.quotas = HostQuotas(self.region, self.net.rng, self.net.now)
-        self.asked = None
+        self.pending_report = None
 
-    def work(self, now):
-        if self.asked is not None:
-            counter, at, _ = self.asked
+    def step(self, now):
+        if self.pending_report is not None:
+            counter, at, _ = self.pending_report
             if now - at > REPLY_TIMEOUT:
-                self.avoided[counter.name] = now + AVOIDED
-                self.asked = None
-        if self.asked is not None or now < self.next_report:
+                self.avoided_until[counter.name] = now + AVOID_TIME
+                self.pending_report = None
+        if self.pending_report is not None or now < self.next_report:
             return
         self.next_report = now + REPORT_INTERVAL
         report = self.quotas.report(now)
         if report is None:
             return
-        counter = self._counter(now)
-        self.asked = (counter, now, report.number)
+        counter = self._choose_counter(now)
+        self.pending_report = (counter, now, report.number)
         self.net.post(self, counter, lambda: counter.answer(self, report))
 
-    def _counter(self, now):
-        fit = [c for c in self.net.counters if now >= self.avoided.get(c.name, 0.0)]
-        near = [c for c in fit if c.region == self.region]
-        return (near or fit or self.net.counters)[0]
+    def _choose_counter(self, now):
+        candidates = [
+            c for c in self.net.counters if now >= self.avoided_until.get(c.name, 0.0)
+        ]
+        near = [c for c in candidates if c.region == self.region]
+        return (near or candidates or self.net.counters)[0]
 
-    def take_in(self, reply, report):
-        if self.asked is not None and self.asked[2] == report.number:
-            self.quotas.take_in(reply, self.asked[1])
-            self.asked = None
+    def receive_reply(self, reply, report):
+        if self.pending_report is not None and self.pending_report[2] == report.number:
+            self.quotas.apply_reply(reply, self.pending_report[1])
+            self.pending_report = None
 
 
 class QuotaNet:
-    """Regions of hosts before counters; requests go to any host.
+    """Regions of entry hosts and counters; requests may go to any entry host.
 
     Attributes:
-        ran: Time and units of what was let through, by organisation.
+        ran: Time and units of the admitted requests, by organisation.
         refused: Units refused, by organisation.
     """
 
@@ -105,8 +111,8 @@
         self.tolerance = tolerance
         self.organisations = {o.name: o for o in organisations}
         self.numbers = itertools.count(1)
-        self.mail = []
-        self.cut_regions = set()
+        self.in_flight = []
+        self.isolated = set()
         self.ran = defaultdict(list)
         self.refused = defaultdict(int)
         self.names = [f"r{n}" for n in range(regions)]
@@ -130,62 +136,68 @@
             counter.ledger.set_quotas(self.quotas(), self.now)
 
     def cut(self, *regions):
-        """Cut regions off from all others, and from each other; none: all heal."""
-        self.cut_regions = set(regions)
+        """Isolate regions from all others and from each other; none given: heal all."""
+        self.isolated = set(regions)
 
     def _reaches(self, one, other):
         if one.region == other.region:
             return True
-        return not {one.region, other.region} & self.cut_regions
+        return not {one.region, other.region} & self.isolated
 
     def post(self, sender, receiver, deliver):
-        trip = NEAR if sender.region == receiver.region else FAR
-        item = (self.now + trip, next(self.numbers), sender, receiver, deliver)
-        heapq.heappush(self.mail, item)
+        delay = LOCAL_DELAY if sender.region == receiver.region else REMOTE_DELAY
+        item = (self.now + delay, next(self.numbers), sender, receiver, deliver)
+        heapq.heappush(self.in_flight, item)
 
-    def ask(self, host, name, tokens):
-        """Bring a request to a host; True: it was let through."""
+    def send_request(self, host, name, tokens):
+        """Send a request to a host; True: admitted, None: the host is not running."""
         if not host.alive:
             return None
         organisation = self.organisations[name]
-        live = sum(host.alive for host in self.hosts)
-        taken = host.quotas.take(organisation, tokens, live, self.now)
-        if isinstance(taken, Charge):
-            self.ran[name].append((self.now, taken.cost))
+        live_hosts = sum(host.alive for host in self.hosts)
+        result = host.quotas.take(organisation, tokens, live_hosts, self.now)
+        if isinstance(result, Charge):
+            self.ran[name].append((self.now, result.cost))
             return True
         self.refused[name] += tokens
         return False
 
     def run(self, seconds, load=lambda now: ()):
-        """Let time pass; ``load`` gives host, organisation and tokens of requests."""
+        """Advance the time by ``seconds``.
+
+        Args:
+            seconds: Simulated seconds.
+            load: Called with the time; returns the host, organisation and tokens of
+                each request to send.
+        """
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
-            while self.mail and self.mail[0][0] <= self.now:
-                _, _, sender, receiver, deliver = heapq.heappop(self.mail)
+            while self.in_flight and self.in_flight[0][0] <= self.now:
+                _, _, sender, receiver, deliver = heapq.heappop(self.in_flight)
                 if receiver.alive and sender.alive and self._reaches(sender, receiver):
                     deliver()
             for host, name, tokens in load(self.now):
-                self.ask(host, name, tokens)
+                self.send_request(host, name, tokens)
             for host in self.hosts:
                 if host.alive:
-                    host.work(self.now)
+                    host.step(self.now)
             for counter in self.counters:
                 if counter.alive and self.rng.random() < STEP / REPORT_INTERVAL:
-                    counter.tell(self.now)
+                    counter.send_sums(self.now)
 
     def most_in_window(self, name):
-        """Return the most units that were let through in any window."""
-        window, total, most = deque(), 0, 0
+        """Return the maximum units admitted in any window of the tolerance."""
+        window, total, maximum = deque(), 0, 0
         for at, cost in self.ran[name]:
             window.append((at, cost))
             total += cost
             while at - window[0][0] > self.tolerance.window:
                 total -= window.popleft()[1]
-            most = max(most, total)
-        return most
+            maximum = max(maximum, total)
+        return maximum
 
     def bound(self, quota):
-        """Return the units that one window may hold."""
+        """Return the maximum units that quota and tolerance allow in one window."""
         within = quota.rate * self.tolerance.window + quota.burst
         return within + self.tolerance.units(quota)
--- a/tests/test_quota_spread.py
+++ b/tests/test_quota_spread.py
@@ -1,4 +1,4 @@
-"""Quotas over all hosts, by the sums that counters tell each other."""
+"""Quotas over all hosts, enforced by counters that exchange sums."""
 
 import unittest
 from unittest import mock
@@ -17,9 +17,11 @@
 
 TOLERANCE = Tolerance(8.0, 0.1, 110_000.0)
 RATE = 200_000.0
+"""Tokens per second of a quota; the burst is as many tokens."""
 COST = 4_000
+"""Tokens of a request."""
 STEADY = 0.55
-"""Part of its quota that an organisation uses as a rule."""
+"""Share of its quota that an organisation normally uses."""
 
 
 def organisation(name="a", rate=RATE):
@@ -30,16 +32,18 @@
 
 
 class Load:
-    """Requests of organisations at random hosts.
+    """Requests of organisations to random hosts.
 
     Args:
-        parts: For each organisation, the part of its quota that it asks for.
+        net: The simulation.
+        demands: Demand of each organisation, as a multiple of its quota.
         cost: Tokens of a request.
+        regions: Regions whose hosts receive the requests; None: all.
     """
 
-    def __init__(self, net, parts, cost=COST, regions=None):
-        self.net, self.parts, self.cost, self.regions = net, parts, cost, regions
-        self._due = dict.fromkeys(parts, 0.0)
+    def __init__(self, net, demands, cost=COST, regions=None):
+        self.net, self.demands, self.cost, self.regions = net, demands, cost, regions
+        self._credit = dict.fromkeys(demands, 0.0)
 
     def __call__(self, now):
         hosts = [
@@ -47,11 +51,11 @@
             for host in self.net.hosts
             if host.alive and (self.regions is None or host.region in self.regions)
         ]
-        for name, part in self.parts.items():
+        for name, demand in self.demands.items():
             rate = self.net.organisations[name].quota.rate
-            self._due[name] += part * rate * STEP / self.cost
-            while self._due[name] >= 1:
-                self._due[name] -= 1
+            self._credit[name] += demand * rate * STEP / self.cost
+            while self._credit[name] >= 1:
+                self._credit[name] -= 1
                 if hosts:
                     yield self.net.rng.choice(hosts), name, self.cost
 
@@ -80,18 +84,18 @@
         net.run(4.0, at_one)
         self.assertEqual(net.refused["a"], 0)
 
-    def test_the_steady_lose_nothing_beside_one_that_asks_for_much_more(self):
+    def test_one_organisation_over_quota_does_not_affect_the_others(self):
         names = [f"o{n}" for n in range(16)]
         net = net_of(*names)
-        parts = dict.fromkeys(names, STEADY)
-        net.run(4.0, Load(net, parts))
-        net.run(9.0, Load(net, {**parts, "o0": 6 * STEADY}))
+        demands = dict.fromkeys(names, STEADY)
+        net.run(4.0, Load(net, demands))
+        net.run(9.0, Load(net, {**demands, "o0": 6 * STEADY}))
         refused = {name for name in names if net.refused[name]}
         self.assertEqual(refused, {"o0"})
         self.assertLessEqual(net.most_in_window("o0"), net.bound(organisation().quota))
 
     @params(1, 2)
-    def test_nobody_is_refused_where_a_counter_dies(self, seed):
+    def test_no_request_within_quota_is_refused_if_a_counter_crashes(self, seed):
         net = net_of("a", seed=seed)
         load = Load(net, {"a": STEADY})
         net.run(4.0, load)
@@ -101,36 +105,36 @@
         net.run(4.0, load)
         self.assertEqual(net.refused["a"], 0)
 
-    def test_what_was_given_back_may_be_used(self):
+    def test_refunded_units_may_be_used(self):
         net = net_of("a")
         host = net.hosts[0]
-        asking = net.organisations["a"]
+        organisation = net.organisations["a"]
 
-        def turned_away(now):
-            charge = host.quotas.take(asking, COST, 18, now)
-            host.quotas.give_back(charge, now)
+        def take_and_refund(now):
+            charge = host.quotas.take(organisation, COST, 18, now)
+            host.quotas.refund(charge, now)
             return ()
 
-        net.run(8.0, turned_away)
+        net.run(8.0, take_and_refund)
         net.run(2.0, Load(net, {"a": STEADY}))
         self.assertEqual(net.refused["a"], 0)
 
 
 class TestOverQuota(unittest.TestCase):
     @params((6.0, 1), (6.0, 2), (1.3, 1), (20.0, 1))
-    def test_use_stays_within_the_bound(self, part, seed):
+    def test_use_stays_within_the_limit(self, demand, seed):
         net = net_of("a", seed=seed)
         net.run(9.0, Load(net, {"a": STEADY}))
-        net.run(12.0, Load(net, {"a": part}))
+        net.run(12.0, Load(net, {"a": demand}))
         self.assertLessEqual(net.most_in_window("a"), net.bound(organisation().quota))
 
-    def test_quota_is_used_up_and_not_less(self):
+    def test_excess_demand_can_use_the_whole_quota(self):
         net = net_of("a")
         net.run(20.0, Load(net, {"a": 3.0}))
         used = sum(cost for at, cost in net.ran["a"] if at > net.now - 10.0)
         self.assertGreater(used, 0.95 * RATE * 10.0)
 
-    def test_large_requests_have_the_chance_of_small_ones(self):
+    def test_large_requests_are_as_likely_admitted_as_small_ones(self):
         net = net_of("a")
         small, large = Load(net, {"a": 1.5}, 800), Load(net, {"a": 1.5}, 9_000)
 
@@ -143,7 +147,7 @@
         served = [ran.count(cost) * cost / (1.5 * RATE * 20.0) for cost in (800, 9_000)]
         self.assertAlmostEqual(served[0], served[1], delta=0.1)
 
-    def test_lower_quota_binds_one_window_after_it_is_in_force(self):
+    def test_lower_quota_applies_one_window_after_it_takes_effect(self):
         net = net_of("a")
         load = Load(net, {"a": STEADY})
         net.run(9.0, load)
@@ -154,7 +158,7 @@
         net.run(12.0, Load(net, {"a": 10 * STEADY}))
         self.assertLessEqual(net.most_in_window("a"), net.bound(lower))
 
-    def test_retry_after_tells_when_what_is_owed_is_paid(self):
+    def test_retry_after_varies_and_is_limited(self):
         net = net_of("a")
         net.run(4.0, Load(net, {"a": 6.0}))
         host = net.hosts[0]
@@ -167,10 +171,10 @@
         self.assertLess(max(waits), 5.01)
 
 
-class TestHeardRegions(unittest.TestCase):
-    def test_quota_that_is_known_before_its_region_is_heard(self):
-        """Guards against an organisation that is refused its part, while a region is
-        missing at a start of the core."""
+class TestReachableRegions(unittest.TestCase):
+    def test_quota_set_before_any_region_has_reported(self):
+        """Guards against an organisation that can't use its share of the quota while
+        another region is missing at a start of the core."""
         quota = Quota(0.001, 300_000.0, True, 200)
         ledger = Ledger(Tolerance(), ("x", "y"), 0.0)
         ledger.set_quotas({"a": quota}, 0.0)
@@ -178,48 +182,49 @@
         (standing,) = ledger.standings({"a"}, 0.2)
         self.assertEqual(standing.level, 150_000)
 
-    def test_region_whose_hosts_idle_is_heard(self):
-        """Guards against a part of each quota that is withheld for a region that only
-        has nothing to tell."""
+    def test_region_with_idle_hosts_is_reachable(self):
+        """Guards against withholding a share of each quota for a region that merely has
+        no use to report."""
         ledger = Ledger(Tolerance(), ("x", "y"), 0.0)
-        silent = set()
+        unreachable = set()
         for step in range(60):
             now = step / 10
             if now % IDLE_INTERVAL == 0:
                 for region in ("x", "y"):
                     ledger.answer(region, QuotaReport(region, 1, step, []), now)
-            ledger.look_around(now)
-            silent |= ledger.parts.silent
-        self.assertEqual(silent, set())
+            ledger.update_reachability(now)
+            unreachable |= ledger.shares.unreachable
+        self.assertEqual(unreachable, set())
 
 
 class TestCutOff(unittest.TestCase):
     @params(("r0",), ("r0", "r1", "r2"))
-    def test_both_sides_of_a_cut_stay_within_one_quota(self, *cut):
+    def test_both_sides_of_a_partition_stay_within_one_quota(self, *isolated):
         net = net_of("a")
         net.run(9.0, Load(net, {"a": STEADY}))
-        net.cut(*cut)
+        net.cut(*isolated)
         net.run(2.0, Load(net, {"a": STEADY}))
         net.ran["a"].clear()
         net.run(16.0, Load(net, {"a": 6.0}))
         self.assertLessEqual(net.most_in_window("a"), net.bound(organisation().quota))
 
     @params(
-        # seed, region that is cut off, parts of the quota that are asked for
+        # seed, isolated region, demand as a multiple of the quota
         (1, "r1", 3.65),
         (7, "r0", 6.0),
     )
     def test_use_that_grows_as_a_cut_begins_stays_within_one_quota(
-        self, seed, region, part
+        self, seed, region, demand
     ):
-        """Guards against two sides that part a quota by what only one of them knows."""
+        """Guards against sides of a partition that divide a quota by samples of use
+        which only one of them has."""
         net = net_of("a", hosts=3, seed=seed)
         net.run(9.0, Load(net, {"a": STEADY}))
         net.cut(region)
-        net.run(10.0, Load(net, {"a": part}))
+        net.run(10.0, Load(net, {"a": demand}))
         self.assertLessEqual(net.most_in_window("a"), net.bound(organisation().quota))
 
-    def test_region_that_is_cut_off_serves_what_it_served(self):
+    def test_isolated_region_continues_to_serve_its_earlier_load(self):
         net = net_of("a")
         load = Load(net, {"a": STEADY})
         net.run(9.0, load)
@@ -230,7 +235,7 @@
         ran = sum(cost for _, cost in net.ran["a"])
         self.assertLess(net.refused["a"], 0.01 * ran)
 
-    def test_hosts_without_a_counter_go_by_their_parts(self):
+    def test_hosts_without_a_counter_limit_requests_to_their_share(self):
         net = net_of("a")
         net.run(9.0, Load(net, {"a": STEADY}))
         for counter in net.counters:
@@ -242,16 +247,16 @@
 
 
 class TestCost(unittest.TestCase):
-    def test_an_answer_looks_at_no_organisation_that_is_far_from_its_quota(self):
-        """Guards against counters whose answers take longer the more organisations
-        there are."""
+    def test_reply_computes_no_standing_of_organisations_far_below_quota(self):
+        """Guards against replies of counters whose cost grows with the number of
+        organisations."""
         net = net_of(*(f"o{n}" for n in range(300)), hosts=1)
         net.run(2.0, Load(net, {"o0": STEADY, "o1": 6.0}))
         ledger = net.counters[0].ledger
-        with mock.patch.object(Account, "standing", autospec=True) as looked:
-            looked.side_effect = STANDING
+        with mock.patch.object(Account, "standing", autospec=True) as standing_calls:
+            standing_calls.side_effect = STANDING
             ledger.standings({"o0"}, net.now)
-        self.assertEqual(looked.call_count, 2)
+        self.assertEqual(standing_calls.call_count, 2)
 
 
 EVENTS = st.lists(
@@ -284,8 +289,8 @@
         net.cut()
         net.run(9.0, Load(net, {"a": part}))
         quota = organisation().quota
-        # Beside a cut, a counter that starts anew may have forgotten a burst and what
-        # was used in advance.
+        # A counter that restarts during a partition may lose the record of one burst
+        # and of the units used in advance.
         most = net.bound(quota) + restarts * 2 * quota.burst
         self.assertLessEqual(net.most_in_window("a"), most)
 
--- a/tests/test_relay_placement_wait.py
+++ b/tests/test_relay_placement_wait.py
@@ -14,6 +14,7 @@
 from tests._scheduling_region import SLOTS, Region, prompt
 
 OBJECTIVE = 1.0
+"""Objective of the route, in seconds."""
 ROUTE = ServedRoute(
     "r",
     "h",
@@ -33,6 +34,7 @@
 MANY = 200
 """Number of measurements after which the estimate is close to the measured value."""
 MAX_PLACEMENT_REQUESTS = 3
+"""Maximum placement requests for a request that is refused at once."""
 
 
 def relay_on(host):
--- a/tests/test_relay_reception.py
+++ b/tests/test_relay_reception.py
@@ -17,6 +17,7 @@
 CONFIRMED, OUTDATED = 0.1, 9.0
 """Seconds since the catalogue was confirmed as current: recent, and too old."""
 DEADLINE_MS = "400"
+"""Deadline of the requests in milliseconds, as the header specifies it."""
 
 
 class Follower:
