--- a/packages/node/src/bronzepoint_node/directory/__init__.py
+++ b/packages/node/src/bronzepoint_node/directory/__init__.py
@@ -1,4 +1,4 @@
-"""Which hosts a caller should use."""
+"""Selection of the hosts that callers should connect to."""
 
 from bronzepoint_node.directory._directory import Directory
 from bronzepoint_node.directory._hosts_for_callers import hosts_for_callers
--- a/packages/node/src/bronzepoint_node/directory/_directory.py
+++ b/packages/node/src/bronzepoint_node/directory/_directory.py
@@ -1,4 +1,4 @@
-"""The directory that callers ask, in place of a balancer before the hosts."""
+"""Directory of hosts for callers, used instead of a load balancer."""
 
 from random import Random
 
@@ -7,19 +7,21 @@
 from bronzepoint_schema.generated.admin import DirectoryAnswer, DirectoryHost
 from bronzepoint_schema.ids import RegionName
 
-HOME_HOSTS = 8
-AWAY_HOSTS = 2
-"""Most hosts that an answer names of the home region, and of each other one."""
-_UNKNOWN_TRIP = 1e6
+MAX_HOME_HOSTS = 8
+"""Maximum number of hosts of the home region in an answer."""
+MAX_REMOTE_HOSTS = 2
+"""Maximum number of hosts of each other region in an answer."""
+_UNKNOWN_RTT = 1e6
+"""Seconds assumed as the round trip to a region without a measurement."""
 
 
 class Directory:
-    """Names the hosts that a caller should try, in order.
+    """Returns the hosts that a caller should try, in order.
 
     Args:
-        membership: Which hosts are there, and how they are.
-        ttl: Seconds after which a caller should ask again.
-        rng: Source of the order; by default a new one for each process.
+        membership: Source of the hosts and their states.
+        ttl: Seconds for which a caller may use an answer.
+        rng: Source of random numbers for the order; None: a new one.
     """
 
     def __init__(
@@ -30,30 +32,30 @@
         self._rng = Random() if rng is None else rng
 
     def hosts_for(self, caller_home: RegionName) -> DirectoryAnswer:
-        """Return the hosts for a caller, nearest first, spread within each region.
+        """Return the hosts for a caller: nearest region first, random order within it.
 
-        Live hosts of the home region come first, then those of other regions that are
-        reachable, then hosts of the home region that are silent. Draining and dead
-        hosts are left out: a host that is about to close must get no new callers.
+        Live hosts of the home region come first, then live hosts of other reachable
+        regions, then unresponsive hosts of the home region. Draining and dead hosts are
+        omitted: a host that is shutting down must get no new callers.
         """
         summaries = self._membership.regions()
         order = self._region_order(caller_home, summaries)
         chosen: list[HostInfo] = []
         for region in order:
-            count = HOME_HOSTS if region == order[0] else AWAY_HOSTS
-            chosen += self._pick(region, HostState.live, count)
-        chosen += self._pick(order[0], HostState.suspect, HOME_HOSTS)
+            count = MAX_HOME_HOSTS if region == order[0] else MAX_REMOTE_HOSTS
+            chosen += self._select(region, HostState.live, count)
+        chosen += self._select(order[0], HostState.suspect, MAX_HOME_HOSTS)
         hosts = [DirectoryHost(i.name, i.region, i.http) for i in chosen]
         return DirectoryAnswer(hosts, self._ttl)
 
     def _region_order(
         self, home: RegionName, summaries: dict[RegionName, RegionSummary]
     ) -> list[RegionName]:
-        """Return the reachable regions: the caller's, this host's, the others by trip.
+        """Return the reachable regions: the caller's, this host's, the others by RTT.
 
-        Distances are measured from this host's region. Of a region that isn't
-        reachable, the hosts are not named, though a caller might reach them: who
-        trusts this answer would wait for connections that never open.
+        Round-trip times are measured from this host's region. Unreachable regions are
+        omitted, although a caller might reach them: if it can't, it would wait for
+        connections that never open.
         """
         own = self._membership.region
         reachable = [s for s in summaries.values() if s.reachable or s.name == own]
@@ -62,11 +64,13 @@
             return (
                 summary.name != home,
                 summary.name != own,
-                summary.trip or _UNKNOWN_TRIP,
+                summary.trip or _UNKNOWN_RTT,
             )
 
         return [summary.name for summary in sorted(reachable, key=distance)]
 
-    def _pick(self, region: RegionName, state: HostState, count: int) -> list[HostInfo]:
+    def _select(
+        self, region: RegionName, state: HostState, count: int
+    ) -> list[HostInfo]:
         hosts = [i for i in self._membership.hosts(region) if i.state is state]
         return spread(hosts, self._rng)[:count]
--- a/packages/node/src/bronzepoint_node/directory/_hosts_for_callers.py
+++ b/packages/node/src/bronzepoint_node/directory/_hosts_for_callers.py
@@ -1,4 +1,4 @@
-"""Which entry hosts the callers of a region are named."""
+"""Selection of entry hosts for the callers of a region."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -6,70 +6,74 @@
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState
 from bronzepoint_schema.ids import RegionName
 
-REMEMBERED = 6.0
-"""Seconds for which a silent host is still named where no other one may be: longer
-than a core host takes to hear of all after a cut or a start of its own, and shorter
-than the time after which the platform counts a named host as dead."""
+FALLBACK_MAX_AGE = 6.0
+"""Maximum seconds since the last report of a host that is returned if no other one may
+be. It is longer than a core host takes to receive reports of all hosts after a network
+partition or its own start, and shorter than the time after which the platform considers
+a returned host dead."""
 
-LEAST_NAMED = 1 / 3
-"""Part of a region's hosts that is named at least. Were all that lag left out, the few
-others would get so many callers that they lag next."""
+MIN_SHARE = 1 / 3
+"""Minimum share of a region's hosts that is returned. If all lagging hosts were
+omitted, the few others would get so many callers that they would lag next."""
 
-KnownHosts = Callable[[float], list[EntryHost]]
-"""Returns the entry hosts heard of within so many seconds."""
+RecentHosts = Callable[[float], list[EntryHost]]
+"""Returns the entry hosts that reported within the given number of seconds."""
 
 
 def hosts_for_callers(
     region: RegionName,
-    known: KnownHosts,
-    fresh: float,
+    recent_hosts: RecentHosts,
+    max_age: float,
     homes: Mapping[RegionName, int],
 ) -> list[EntryHost]:
-    """Return the hosts that callers of a region may use; empty: none is known.
+    """Return the hosts that callers of a region may use; empty: no host is available.
 
-    The region's own hosts go first, but for those that lag: callers leave a host that
-    isn't named any more, so that it gets less to do.
+    Hosts of the region itself are preferred, without the lagging ones: callers leave a
+    host that is no longer returned, which reduces its load.
 
-    Without any, callers are sent to a region that may serve what is home-bound. A
-    region that is neither must not see those requests: one would notice callers that
-    are refused there and come back in a crowd. So it is never named for a host name
-    with home-bound routes, not even when nothing else is known; callers then keep what
-    they were named before, or ask another directory.
+    If the region has no hosts, callers are sent to a region that may serve home-bound
+    routes. Other regions must not receive these requests: they would refuse them, and
+    the refused callers would retry together. Such a region is therefore never returned
+    for a host name with home-bound routes, even if no other host is known; callers then
+    keep their previous list, or query another directory.
 
     Args:
         region: Region of the callers.
-        known: The entry hosts.
-        fresh: Seconds for which word of a host is trusted.
-        homes: How many home-bound routes each region may serve; empty: none is bound.
+        recent_hosts: Source of the entry hosts.
+        max_age: Maximum seconds since the last report of a host to be used.
+        homes: Number of home-bound routes that each region may serve; empty: no route
+            is home-bound.
     """
-    ready = _ready(known(fresh))
-    near = [host for host in ready if host.region == region]
-    if near:
-        return _without_lagging(near)
+    ready = _ready_hosts(recent_hosts(max_age))
+    local_hosts = [host for host in ready if host.region == region]
+    if local_hosts:
+        return _without_lagging(local_hosts)
     if not homes:
         return ready
-    return _best_homes(ready, homes) or [
-        host for host in _ready(known(REMEMBERED)) if host.region == region
+    return _hosts_of_best_homes(ready, homes) or [
+        host
+        for host in _ready_hosts(recent_hosts(FALLBACK_MAX_AGE))
+        if host.region == region
     ]
 
 
 def _without_lagging(hosts: list[EntryHost]) -> list[EntryHost]:
-    """Return those that keep up, and as many others as must be named."""
-    by_lag = sorted(hosts, key=lambda host: (host.lagging, host.name))
-    keeping_up = sum(not host.lagging for host in hosts)
-    return by_lag[: max(keeping_up, math.ceil(LEAST_NAMED * len(hosts)))]
+    """Return the hosts that don't lag, and as many others as `MIN_SHARE` requires."""
+    sorted_hosts = sorted(hosts, key=lambda host: (host.lagging, host.name))
+    not_lagging = sum(not host.lagging for host in hosts)
+    return sorted_hosts[: max(not_lagging, math.ceil(MIN_SHARE * len(hosts)))]
 
 
-def _best_homes(
+def _hosts_of_best_homes(
     ready: list[EntryHost], homes: Mapping[RegionName, int]
 ) -> list[EntryHost]:
-    """Return the hosts of those regions that may serve most home-bound routes."""
+    """Return the hosts of the regions that may serve the most home-bound routes."""
     served = {host.region: homes.get(host.region, 0) for host in ready}
-    most = max(served.values(), default=0)
-    if most == 0:
+    max_served = max(served.values(), default=0)
+    if max_served == 0:
         return []
-    return [host for host in ready if served[host.region] == most]
+    return [host for host in ready if served[host.region] == max_served]
 
 
-def _ready(hosts: list[EntryHost]) -> list[EntryHost]:
+def _ready_hosts(hosts: list[EntryHost]) -> list[EntryHost]:
     return [host for host in hosts if host.state is EntryState.ready]
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -1,4 +1,4 @@
-"""Order of the directory's answers: nearness, spread, and who is left out."""
+"""Order of the hosts in the directory's answers, and hosts that are omitted."""
 
 import unittest
 from collections import Counter
@@ -11,6 +11,7 @@
 
 REGIONS = ["bkk", "sgp", "cnx"]
 ANSWERS = 3000
+"""Number of answers drawn, for shares that are close to their expected values."""
 
 
 class FakeMembership:
@@ -60,19 +61,19 @@
         self.assertEqual(self.regions(home), regions)
         self.assertEqual(self.directory.hosts_for(home).ttl, 5.0)
 
-    def test_isolated_region_names_its_own_hosts_only(self) -> None:
-        """The region is cut off from all others.
+    def test_isolated_region_returns_only_its_own_hosts(self) -> None:
+        """Guards against callers that wait for connections to unreachable hosts,
+        although their own region could serve them.
 
-        Symptom: callers wait for connections to hosts that can't be reached, though
-        their own region could serve them. Cause: the last list of another region's
-        hosts is still there.
+        When a region is isolated, its hosts still have the last host lists of the other
+        regions.
         """
         for region in ("sgp", "cnx"):
             self.membership.summaries[region].reachable = False
         for home in REGIONS:
             self.assertEqual(self.regions(home), ["bkk"])
 
-    def test_draining_and_dead_are_left_out_and_silent_ones_come_last(self) -> None:
+    def test_draining_and_dead_are_omitted_and_suspect_ones_come_last(self) -> None:
         infos = self.membership.infos
         infos["bkk-0"].state = HostState.draining
         infos["bkk-1"].state = HostState.dead
@@ -84,11 +85,10 @@
             self.assertEqual(answer[-1], "bkk-2")
 
     def test_callers_of_a_failed_host_spread_over_all_others(self) -> None:
-        """A host fails and its callers go to the next host of their lists.
+        """Guards against cascading overload after the failure of a host.
 
-        Symptom: one more host is overloaded and fails, and then the next. Sequence:
-        all lists have the same second host; the callers of the first move there at
-        once. Cause: a fixed order, or one sorted by load.
+        Its callers move to the next host of their lists. With a fixed order, or one
+        sorted by load, that would be the same host for all of them.
         """
         firsts: Counter[str] = Counter()
         seconds: Counter[str] = Counter()
