--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Where a request goes: targets and regions as one entry host knows them."""
+"""Placement of requests on targets and regions, from the state of one host."""
 
 from ._ask import PlacementAsk, service_of
 from ._choice import (
@@ -24,9 +24,9 @@
 from ._retry_allowance import RetryAllowance
 from ._scheduler import Scheduler
 from ._scheduler_client import SchedulerClient
-from ._speeds import Speeds
+from ._service_estimates import ServiceEstimates
 from ._target_table import TargetTable
-from ._tracked import EngineReport, is_silent
+from ._tracked_target import EngineReport, is_silent
 
 __all__ = [
     "AtHome",
@@ -51,7 +51,7 @@
     "RetryAllowance",
     "Scheduler",
     "SchedulerClient",
-    "Speeds",
+    "ServiceEstimates",
     "TargetTable",
     "is_silent",
     "service_of",
--- a/packages/node/src/bronzepoint_node/placement/_ask.py
+++ b/packages/node/src/bronzepoint_node/placement/_ask.py
@@ -1,4 +1,4 @@
-"""One request that wants a place."""
+"""A request that is waiting to be placed."""
 
 import random
 
@@ -11,25 +11,25 @@
 
 
 class PlacementAsk(Struct):
-    """One request that wants a place.
+    """A request that is waiting to be placed.
 
     Attributes:
-        forwarded: Another region sent it; it is served here or not at all.
-        left: Seconds until its deadline.
-        tried: Targets that it was sent to already.
-        tried_hosts: Hosts of other regions that it was forwarded to already.
-        rank: How urgent it is now; 0 goes first.
-        arrived: When it was read, by the monotonic clock.
+        forwarded: Another region forwarded it; it is not forwarded again.
+        time_left: Seconds until its deadline.
+        tried: Targets that it was already sent to.
+        tried_hosts: Hosts of other regions that it was already forwarded to.
+        rank: Current priority; 0 is the most urgent.
+        arrived: When it was received, by the monotonic clock.
         body_bytes: Size of its body.
-        suspect: It was beside several crashes of targets.
-        organisation: Who asks; None: nobody who is known.
+        suspect: It was in progress at several targets when they crashed.
+        organisation: Organisation of the caller; None if it is unknown.
     """
 
     request_id: str
     route: ServedRoute
     prompt: Prompt | None
     forwarded: bool
-    left: float
+    time_left: float
     tried: set[str]
     tried_hosts: set[str]
     rank: int
@@ -40,21 +40,24 @@
 
     @property
     def homes(self) -> tuple[tuple[RegionName, ...], ...]:
-        """Return the home regions of the route and of the organisation, where any."""
-        asking = self.organisation
-        found = (self.route.home_regions, asking.home_regions if asking else ())
+        """Return the home regions of the route and of the organisation, if set."""
+        organisation = self.organisation
+        found = (
+            self.route.home_regions,
+            organisation.home_regions if organisation else (),
+        )
         return tuple(homes for homes in found if homes)
 
     def may_go_to(self, region: RegionName) -> bool:
-        """Tell whether the homes of route and organisation allow a region."""
+        """Return whether the home regions of route and organisation allow a region."""
         return all(region in homes for homes in self.homes)
 
 
 def service_of(route: ServedRoute, request_id: str) -> str:
-    """Return the service that serves a request, by the route's weights.
+    """Return the service that serves a request, drawn by the route's weights.
 
-    It follows from the request's id, so that a host of another region that the
-    request is forwarded to finds the same one.
+    The draw is seeded with the request's id, so that a host of another region selects
+    the same service for a forwarded request.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
--- a/packages/node/src/bronzepoint_node/placement/_part_memory.py
+++ b/packages/node/src/bronzepoint_node/placement/_cache_estimate.py
@@ -1,46 +1,46 @@
-"""Which parts of prompts one engine has most likely cached."""
+"""Estimate of which parts of prompts one engine has cached."""
 
 from collections import OrderedDict
 
 from ._prompt import Prompt
 
-FULL_SHARE = 0.9
-"""Part of an engine's memory that cached parts are taken to fill at most."""
+CACHE_FILL_SHARE = 0.9
+"""Fraction of an engine's memory that cached parts are assumed to occupy at most."""
 
 
-class PartMemory:
-    """Follows what was sent to one engine; the parts used longest ago go first.
+class CacheEstimate:
+    """LRU model of an engine's cache, based on the parts sent to it.
 
     Args:
-        most_tokens: Tokens that the engine keeps.
+        token_limit: Tokens that fit into the engine's memory.
     """
 
-    def __init__(self, most_tokens: int) -> None:
-        self._most = most_tokens * FULL_SHARE
+    def __init__(self, token_limit: int) -> None:
+        self._token_limit = token_limit * CACHE_FILL_SHARE
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
     def note_used(self, prompt: Prompt) -> None:
-        """Count the parts of a prompt as cached."""
+        """Mark the parts of a prompt as cached."""
         for part in prompt.parts:
             self.note_part(part.name, part.tokens)
 
     def note_part(self, name: str, tokens: int) -> None:
-        """Count one part as cached."""
+        """Mark a part as cached."""
         self._tokens += tokens - self._parts.pop(name, 0)
         self._parts[name] = tokens
-        while self._tokens > self._most and self._parts:
+        while self._tokens > self._token_limit and self._parts:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
     def drop(self, name: str) -> None:
-        """Count a part as no longer cached."""
+        """Mark a part as no longer cached."""
         self._tokens -= self._parts.pop(name, 0)
 
     def cached_tokens(self, prompt: Prompt) -> int:
-        """Return the tokens of the leading parts believed to be cached.
+        """Return the tokens of the leading parts that are assumed to be cached.
 
-        A part counts only where all parts before it are cached too.
+        A part counts only if all parts before it are cached, too.
         """
         found = 0
         for part in prompt.parts:
--- a/packages/node/src/bronzepoint_node/placement/_choice.py
+++ b/packages/node/src/bronzepoint_node/placement/_choice.py
@@ -1,15 +1,15 @@
-"""What the placer answers."""
+"""Results of placing a request."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 from bronzepoint_schema.ids import RegionName
 
-from ._tracked import Tracked
+from ._tracked_target import TrackedTarget
 
 
 class RejectReason(StrEnum):
-    """Why a request is turned away unserved."""
+    """Why a request is refused without having been served."""
 
     NO_CATALOGUE = "no_catalogue"
     NO_ROOM = "no_room"
@@ -26,21 +26,23 @@
 
 @dataclass(frozen=True)
 class AtHome:
-    """Send it to this target of the own region.
+    """Send the request to a target of this region.
 
     Attributes:
-        delay: Seconds until its first answer, as expected.
-        fetch_from: Target that keeps more of the prompt; None: none is asked for it.
-        cached_tokens: Tokens of the prompt that needn't be read there.
-        tokens_before: Prompt tokens that are read there before its own.
-        known_age: Seconds that what the choice went by may be old.
-        quiet: Nothing that hasn't begun is known to be there.
+        delay: Expected seconds until the first event of the answer.
+        fetch_from: Target to copy cached parts of the prompt from; None if there is
+            nothing to copy.
+        cached_tokens: Prompt tokens that the target does not have to read.
+        tokens_before: Prompt tokens that the target reads before this prompt.
+        known_age: Maximum age in seconds of the data behind the choice.
+        quiet: As far as is known, every other request there has produced its first
+            event.
     """
 
-    target: Tracked
+    target: TrackedTarget
     reason: str
     delay: float = 0.0
-    fetch_from: Tracked | None = None
+    fetch_from: TrackedTarget | None = None
     cached_tokens: int = 0
     tokens_before: float = 0.0
     known_age: float = 0.0
@@ -49,11 +51,11 @@
 
 @dataclass(frozen=True)
 class NoHome:
-    """No target of the own region may get it now.
+    """No target of this region can take the request now.
 
     Attributes:
-        late: There is room, but it would not end by its deadline.
-        crowded: The requests in line before it take longer than it may wait.
+        late: There is free capacity, but the request would miss its deadline.
+        crowded: The requests ahead of it in the queue take longer than it may wait.
     """
 
     late: bool = False
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Elsewhere:
-    """Forward it to an entry host of another region."""
+    """Forward the request to an entry host of another region."""
 
     region: RegionName
     host: str
@@ -73,11 +75,11 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """Turn it away; it has not run.
+    """Refuse the request; it has not run.
 
     Attributes:
-        retry_after: Seconds until there may be room.
-        final: It is known that waiting here doesn't help.
+        retry_after: Seconds until there may be free capacity.
+        final: Waiting on this host is known not to help.
     """
 
     reason: RejectReason
@@ -85,5 +87,5 @@
     final: bool = False
 
 
-HomeAnswer = AtHome | NoHome
+LocalResult = AtHome | NoHome
 Placement = AtHome | Elsewhere | Rejected
--- a/packages/node/src/bronzepoint_node/placement/_cold_gate.py
+++ b/packages/node/src/bronzepoint_node/placement/_cold_gate.py
@@ -1,20 +1,21 @@
-"""How many requests cold targets get, over all hosts together."""
+"""Rate limit for requests to cold targets, across all hosts of a region."""
 
 from bronzepoint_common.rendezvous import rendezvous_order
 from bronzepoint_schema.ids import HostName
 
-SHARE = 0.7
-"""Part of the rate that is used: a list of hosts that is a little behind makes two
-owners for a moment."""
+RATE_SHARE = 0.7
+"""Fraction of a target's rate that is used. While hosts have different lists of live
+hosts, two of them may send to the same target."""
 
 
 class ColdGate:
-    """Lets one host of a region alone send to a cold target, a few a second.
+    """Lets a single host of a region send to a cold target, at a limited rate.
 
-    A cold target crashes under more requests than it stands, whoever sent them. To
-    divide its rate among hosts that come and go takes messages; that one of them, by
-    rendezvous hash, has all of it takes none. While hosts differ on who lives, two
-    may send: the rules of the platform leave room for twice the rate.
+    A cold target crashes when it gets more requests a second than it can handle, from
+    whichever hosts. Dividing its rate among a changing set of hosts would take
+    messages; giving the whole rate to one host, selected by rendezvous hash, takes
+    none. While hosts disagree on which hosts are live, two of them may send; the rules
+    of the platform tolerate twice the rate.
 
     Args:
         host: This host.
@@ -22,22 +23,26 @@
 
     def __init__(self, host: HostName) -> None:
         self._host = host
-        self._sent: dict[str, float] = {}
+        self._last_sent: dict[str, float] = {}
 
     def is_owner(self, target: str, hosts: list[HostName]) -> bool:
-        """Tell whether this host is the one that may send to a cold target."""
+        """Return whether this host is the one that may send to a cold target."""
         return bool(hosts) and rendezvous_order(target, hosts)[0] == self._host
 
     def may_send(
         self, target: str, rate: float, hosts: list[HostName], now: float
     ) -> bool:
-        """Tell whether one request may go to a cold target now."""
+        """Return whether a request may be sent to a cold target now."""
         if rate <= 0 or not self.is_owner(target, hosts):
             return False
-        return now - self._sent.get(target, float("-inf")) >= 1 / (SHARE * rate)
+        return now - self._last_sent.get(target, float("-inf")) >= 1 / (
+            RATE_SHARE * rate
+        )
 
     def note_sent(self, target: str, now: float) -> None:
-        """Count a request that goes to a cold target."""
-        self._sent[target] = now
-        if len(self._sent) > 1000:
-            self._sent = {t: at for t, at in self._sent.items() if now - at < 60}
+        """Record a request that is sent to a cold target."""
+        self._last_sent[target] = now
+        if len(self._last_sent) > 1000:
+            self._last_sent = {
+                t: at for t, at in self._last_sent.items() if now - at < 60
+            }
--- a/packages/node/src/bronzepoint_node/placement/_collector_choice.py
+++ b/packages/node/src/bronzepoint_node/placement/_collector_choice.py
@@ -1,4 +1,4 @@
-"""Which host of a region adds up the loads that all of them report."""
+"""Selection of the host that aggregates the target loads of a region."""
 
 from collections.abc import Sequence
 
@@ -6,19 +6,21 @@
 from bronzepoint_node.fleet import COLLECTOR_ORDER
 from bronzepoint_schema.ids import HostName
 
-MOST_DIRECT = 5
-"""Other hosts up to which each tells all others itself: what one host hears a second is
-about the same either way, and the direct way is one hop."""
-SILENT_AFTER = 2.2
-"""Seconds after which a collector that says nothing is left: two of its refreshes."""
+MAX_DIRECT = 5
+"""Number of other hosts up to which each host reports to every other host. Up to that
+number a host receives about as many messages either way, and direct reports take one
+hop less."""
+UNRESPONSIVE_AFTER = 2.2
+"""Seconds without a message after which a collector is replaced: two of its refresh
+intervals."""
 
 
-class CollectorChoice:
-    """Chooses the collector by rendezvous hash, past those that are silent.
+class CollectorSelector:
+    """Selects the collector by rendezvous hash among the responsive hosts.
 
-    Hosts that know the same hosts choose the same one without a message. One that is
-    dead, or behind a cut, would leave its members without any word of the others: they
-    would all send to the target that each of them believes idle.
+    Hosts that know the same hosts select the same collector without exchanging
+    messages. A collector that is dead or partitioned would leave its members without
+    any load reports: each would send to the target that looks idle to it.
 
     Args:
         name: This host.
@@ -26,49 +28,53 @@
 
     def __init__(self, name: HostName) -> None:
         self._name = name
-        self._heard: dict[HostName, float] = {}
+        self._last_contact: dict[HostName, float] = {}
 
-    def note_heard(self, host: HostName, now: float) -> None:
-        """Count a word of a host that collects."""
-        self._heard[host] = now
+    def record_contact(self, host: HostName, now: float) -> None:
+        """Record a message from a host that acts as collector."""
+        self._last_contact[host] = now
 
-    def note_silent(self, host: HostName) -> None:
-        """Pass over a host that doesn't answer, until it is heard again."""
-        self._heard[host] = float("-inf")
+    def mark_unresponsive(self, host: HostName) -> None:
+        """Skip a host that does not answer until a message from it arrives."""
+        self._last_contact[host] = float("-inf")
 
     def choose(
         self, others: list[HostName], now: float, core: Sequence[HostName] = ()
     ) -> HostName | None:
-        """Return the collector, maybe this host; None: hosts tell each other.
+        """Return the collector, possibly this host; None if hosts report directly.
 
         Args:
             others: The other entry hosts of the region.
             now: Monotonic seconds.
-            core: Hosts of the core there; they go first.
+            core: Core hosts of the region; they are preferred.
         """
-        if len(others) <= MOST_DIRECT:
-            self._heard.clear()
+        if len(others) <= MAX_DIRECT:
+            self._last_contact.clear()
             return None
-        # A host that was gone and is back has said nothing yet, and is heard out anew.
+        # A host that was absent and has returned has sent nothing yet, so its time
+        # limit starts again.
         present = {*others, *core}
-        self._heard = {h: at for h, at in self._heard.items() if h in present}
+        self._last_contact = {
+            h: at for h, at in self._last_contact.items() if h in present
+        }
         for host in self.order(others, core):
             if host == self._name:
                 break
-            if now - self._heard.setdefault(host, now) <= SILENT_AFTER:
+            if now - self._last_contact.setdefault(host, now) <= UNRESPONSIVE_AFTER:
                 return host
         return self._name
 
-    def silent_before(
+    def unresponsive_before(
         self,
         collector: HostName,
         others: list[HostName],
         core: Sequence[HostName] = (),
     ) -> list[HostName]:
-        """Return the silent hosts that would collect if they were heard again.
+        """Return the unresponsive hosts that precede the collector in the order.
 
-        They are told now and then, and answer once they can: else a cut that has healed
-        would leave a region with two collectors, each with half of its hosts.
+        They get periodic reports and answer as soon as they can. Otherwise a region
+        would keep two collectors after a network partition has ended, each with half of
+        the hosts.
         """
         order = self.order(others, core)
         return order[: order.index(collector)]
@@ -76,6 +82,6 @@
     def order(
         self, others: list[HostName], core: Sequence[HostName] = ()
     ) -> list[HostName]:
-        """Return this host and others as they come to collect, the first one first."""
+        """Return this host and the others in order of preference as collector."""
         first = rendezvous_order(COLLECTOR_ORDER, core)
         return [*first, *rendezvous_order(COLLECTOR_ORDER, [self._name, *others])]
--- a/packages/node/src/bronzepoint_node/placement/_fetch_source.py
+++ b/packages/node/src/bronzepoint_node/placement/_fetch_source.py
@@ -1,44 +1,49 @@
-"""From which target a shared part of a prompt is fetched instead of read again."""
+"""Selection of the target that a cached part of a prompt is copied from."""
 
 from collections.abc import Iterable
 
 from ._prompt import Prompt
-from ._tracked import Tracked, is_ejected, is_silent
+from ._tracked_target import TrackedTarget, is_ejected, is_silent
 
-SETUP = 0.004
-"""Seconds that a fetch takes besides the copying."""
-LEAST_TOKENS = 64
-"""Fewer tokens are read in the time that it takes to set a fetch up."""
+SETUP_TIME = 0.004
+"""Fixed overhead of a copy in seconds, in addition to the transfer time."""
+MIN_TOKENS = 64
+"""Fewer tokens are read faster than a copy is set up."""
 
 
 def fetch_source(
-    target: Tracked, others: Iterable[Tracked], prompt: Prompt, rate: float, now: float
-) -> Tracked | None:
-    """Return the target to fetch from; None: reading is as good, or nobody keeps more.
+    target: TrackedTarget,
+    others: Iterable[TrackedTarget],
+    prompt: Prompt,
+    rate: float,
+    now: float,
+) -> TrackedTarget | None:
+    """Return the target to copy from; None if reading is as fast.
 
-    A part that was read once is copied in a fraction of the time and of the price of
-    reading it. It binds when an engine has come back cold, or when the one that keeps
-    a part is full: each prompt placed elsewhere would read all of it again.
+    Copying a part takes a fraction of the time and of the cost of reading it. This
+    matters when an engine has restarted with an empty cache, or when the target that
+    caches the part is full: otherwise every prompt that is placed on another target
+    reads the whole part again.
 
     Args:
-        target: Where the request goes.
-        others: Targets that may keep parts of the prompt.
+        target: Target that the request is sent to.
+        others: Targets that may cache parts of the prompt.
         prompt: The prompt.
-        rate: Tokens that an engine reads in a second.
+        rate: Tokens that an engine reads per second.
         now: Monotonic seconds.
     """
     if target.engine is None:
         return None
     kept = target.memory.cached_tokens(prompt)
-    best, most = None, kept
+    best, max_cached = None, kept
     for other in others:
         if other is target or is_silent(other, now) or is_ejected(other):
             continue
         found = other.memory.cached_tokens(prompt)
-        if found > most:
-            best, most = other, found
-    gained = most - kept
-    if best is None or gained < LEAST_TOKENS:
+        if found > max_cached:
+            best, max_cached = other, found
+    gained = max_cached - kept
+    if best is None or gained < MIN_TOKENS:
         return None
-    copying = SETUP + gained * target.engine.seconds_to_copy
+    copying = SETUP_TIME + gained * target.engine.seconds_to_copy
     return best if copying < gained / rate else None
--- a/packages/node/src/bronzepoint_node/placement/_home_ask.py
+++ b/packages/node/src/bronzepoint_node/placement/_home_ask.py
@@ -1,4 +1,4 @@
-"""A request that wants a target of this region, as whoever chooses one is told."""
+"""A request for a target of this region, as passed to the target selection."""
 
 from msgspec import Struct
 
@@ -6,21 +6,21 @@
 
 
 class HomeAsk(Struct):
-    """What the choice of a target depends on.
+    """Input of the selection of a target.
 
     Attributes:
-        left: Seconds until its deadline.
-        rank: How urgent it is now; 0 goes first.
-        arrived: When it was read, by this host's monotonic clock.
-        avoided: Targets that it was sent to, or that its host can't use.
-        suspect: It was beside several crashes of targets, and goes where it is the only
-            such one and little else runs.
+        time_left: Seconds until its deadline.
+        rank: Priority; 0 is the most urgent.
+        arrived: When it was received, by this host's monotonic clock.
+        avoided: Targets that it was already sent to, or that its host cannot use.
+        suspect: It was in progress at several targets when they crashed. It is sent to
+            a target without another suspect and with few other requests.
     """
 
     request_id: str
     service: str
     prompt: Prompt | None
-    left: float
+    time_left: float
     rank: int
     arrived: float
     avoided: set[str]
--- a/packages/node/src/bronzepoint_node/placement/_load_exchange.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_exchange.py
@@ -1,4 +1,4 @@
-"""Telling the entry hosts of a region what this one has in progress."""
+"""Exchange of load reports between the entry hosts of a region."""
 
 from collections.abc import Callable
 
@@ -10,47 +10,48 @@
 from bronzepoint_schema.generated.target_loads import LoadNotice, NoticeKind
 from bronzepoint_schema.ids import HostName
 
-from ._collector_choice import CollectorChoice
-from ._load_collector import TELL_INTERVAL, LoadCollector
-from ._picture_age import MOST_AGE, PictureAge
+from ._collector_choice import CollectorSelector
+from ._load_collector import NOTICE_INTERVAL, LoadCollector
+from ._picture_age import MAX_AGE, StalenessBound
 from ._reservations import Reservations
-from ._speeds import Speeds
+from ._service_estimates import ServiceEstimates
 from ._target_table import TargetTable
 
 _log = get_logger("targets")
 
-LEAST_INTERVAL = 0.02
-"""Seconds between two notices where each host tells each other,"""
-INTERVAL_BY_HOST = 0.006
-"""and seconds added for each host that is told, so that what a host hears a second
-stays the same."""
+MIN_INTERVAL = 0.02
+"""Seconds between two reports of a host that reports to the others directly, before
+INTERVAL_PER_HOST is added."""
+INTERVAL_PER_HOST = 0.006
+"""Seconds added to the interval per receiving host, so that the number of messages that
+a host receives per second stays constant."""
 REPORT_INTERVAL = 0.04
-"""Seconds between two notices to a collector: in that time it counts what it has
-granted, but not what has ended."""
+"""Seconds between two reports to a collector. Within that time the collector counts the
+requests that it has granted, but still includes those that have ended."""
 IDLE_INTERVAL = 0.2
-"""Seconds between two looks whether there is anybody to tell."""
-REFRESH = 1.0
-"""Seconds after which all is told again: a notice may be lost."""
+"""Seconds between two checks whether there are hosts to report to."""
+REFRESH_INTERVAL = 1.0
+"""Seconds between two full reports, which make up for lost messages."""
 
 
 class LoadExchange:
-    """Posts what has changed, at most once an interval.
+    """Reports load changes, at most once per interval.
 
-    Engines report their load late, and are asked now and then only. In that time
-    several hosts would send their prompts to the engine that was idle.
+    Engines report their load late and are polled rarely. Between two polls several
+    hosts would send their prompts to the engine that was idle at the last one.
 
-    A few hosts tell each other. In a larger region each tells one of them, the
-    collector. It chooses targets for the requests of all, and tells each member now and
-    then what all others have together.
+    In a small region hosts report to each other directly. In a larger region they
+    report to one host, the collector. It selects the targets for the requests of all
+    hosts, and sends each member a periodic notice with the total load of the others.
 
     Args:
         name: This host.
-        peers: Links to the other hosts.
+        peers: Connections to the other hosts.
         table: Targets of the region.
-        speeds: What is measured of requests.
-        reservations: Where what this host grants counts.
-        others: Gives the other entry hosts of the region.
-        core: Gives the hosts of the core in the region, which collect before others.
+        speeds: Latency estimates.
+        reservations: Requests granted by this host.
+        others: Returns the other entry hosts of the region.
+        core: Returns the core hosts of the region, which are preferred as collectors.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         name: HostName,
         peers: Peers,
         table: TargetTable,
-        speeds: Speeds,
+        speeds: ServiceEstimates,
         reservations: Reservations,
         others: Callable[[], list[HostName]],
         core: Callable[[], list[HostName]] = list,
@@ -71,33 +72,33 @@
         self._others = others
         self._core = core
         self._settled: list[int] = []
-        self._picture = PictureAge(REFRESH)
-        self._told_changes_at: float | None = None
-        self._told_of_all_at = float("-inf")
-        self._told_all_at = 0.0
-        self._choice = CollectorChoice(name)
+        self._staleness = StalenessBound(REFRESH_INTERVAL)
+        self._reported_changes_at: float | None = None
+        self._complete_as_of = float("-inf")
+        self._reported_all_at = 0.0
+        self._selector = CollectorSelector(name)
         self._collector: HostName | None = None
-        self._collected = LoadCollector(name, table)
+        self._load_collector = LoadCollector(name, table)
         self._task: curio.Task | None = None
-        peers.register(Area.TARGET_LOADS, LoadNotice, self._take)
+        peers.register(Area.TARGET_LOADS, LoadNotice, self._handle_notice)
 
     async def start(self) -> None:
-        """Begin to tell."""
+        """Start the reports."""
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
-        """Stop telling."""
+        """Stop the reports."""
         if self._task is not None:
             await self._task.cancel()
 
     def askers(self, hosts: int) -> int:
-        """Return how many hosts ask each engine how busy it is.
+        """Return the number of hosts that poll each engine for its load.
 
         Args:
             hosts: Entry hosts of the region.
 
         Returns:
-            0 where this host doesn't ask, as its collector tells it.
+            0 if this host does not poll because its collector does.
         """
         match self._collector:
             case None:
@@ -109,15 +110,15 @@
 
     @property
     def scheduler(self) -> HostName | None:
-        """Return the other host that chooses targets; None: this one does itself."""
+        """Return the other host that selects targets; None if this one does."""
         return None if self._collector == self._name else self._collector
 
     def has_members(self, now: float) -> bool:
-        """Tell whether other hosts report to this one."""
-        return bool(self._collected.members(now))
+        """Return whether other hosts report to this one."""
+        return bool(self._load_collector.members(now))
 
     def choosers(self, hosts: list[HostName]) -> list[HostName]:
-        """Return which hosts of the region choose targets without being asked.
+        """Return the hosts of the region that select targets without being queried.
 
         Args:
             hosts: Entry hosts of the region.
@@ -125,53 +126,60 @@
         return [self._name] if self._collector == self._name else hosts
 
     def known_age(self, now: float) -> float:
-        """Return the seconds that what this host goes by may be old.
+        """Return the maximum age in seconds of the data that this host relies on.
 
         Args:
             now: Monotonic seconds.
         """
         if self.scheduler is not None:
-            return min(MOST_AGE, now - self._told_of_all_at)
-        return self._picture.age(now)
-
-    def leave(self, collector: HostName) -> None:
-        """Pass over a collector that doesn't answer, until it is heard again."""
-        self._choice.note_silent(collector)
-        self._follow(self._choice.choose(self._others(), monotonic(), self._core()))
+            return min(MAX_AGE, now - self._complete_as_of)
+        return self._staleness.age(now)
+
+    def abandon_collector(self, collector: HostName) -> None:
+        """Skip a collector that does not answer until a message from it arrives."""
+        self._selector.mark_unresponsive(collector)
+        self._switch_collector(
+            self._selector.choose(self._others(), monotonic(), self._core())
+        )
 
     def note_settled(self, number: int) -> None:
-        """Count what was granted for an ask as this host's own part."""
+        """Record that this host's own load includes the grant for a query."""
         self._settled.append(number)
 
-    async def _take(self, peer: HostName, notice: LoadNotice) -> None:
+    async def _handle_notice(self, peer: HostName, notice: LoadNotice) -> None:
         now = monotonic()
         match notice.kind:
             case NoticeKind.to_collect:
-                self._collected.take(peer, notice.loads, now)
-                self._learn(peer, notice, now)
+                self._load_collector.record(peer, notice.loads, now)
+                self._apply_measurements(peer, notice, now)
             case NoticeKind.own if self._collector not in (None, self._name):
-                # The collector hears of that host, too, and tells of it.
+                # The collector gets that host's report, too, and includes it in its
+                # notices.
                 return
             case NoticeKind.of_others:
-                self._choice.note_heard(peer, now)
+                self._selector.record_contact(peer, now)
                 if notice.tell_all:
-                    self._told_all_at = 0.0
+                    self._reported_all_at = 0.0
                 if peer != self._collector:
-                    # A former collector's sum holds what the present one tells.
+                    # The sum of a former collector contains loads that the current one
+                    # also reports.
                     return
                 if notice.span_ms:
-                    # Where targets are told by turns, some were told longer ago.
-                    turns = notice.span_ms / 1000 - TELL_INTERVAL
-                    self._told_of_all_at = now - turns
+                    # With round robin, the targets of earlier notices are older than
+                    # this notice.
+                    turns = notice.span_ms / 1000 - NOTICE_INTERVAL
+                    self._complete_as_of = now - turns
         if notice.kind is not NoticeKind.of_others:
-            self._picture.note(peer, notice.span_ms / 1000, now)
+            self._staleness.note(peer, notice.span_ms / 1000, now)
         for load in notice.loads:
             tracked = self._table.get(load.incarnation)
             if tracked is not None:
-                tracked.take_load(peer, load, now)
+                tracked.apply_load(peer, load, now)
 
-    def _learn(self, peer: HostName, notice: LoadNotice, now: float) -> None:
-        """Take in what a member has measured, and what its own part now holds."""
+    def _apply_measurements(
+        self, peer: HostName, notice: LoadNotice, now: float
+    ) -> None:
+        """Apply the measurements and settled grants that a member reports."""
         self._reservations.settle(peer, notice.settled)
         for measured in notice.first_tokens:
             tracked = self._table.get(measured.incarnation)
@@ -183,69 +191,69 @@
 
     async def _run(self) -> None:
         while True:
-            await curio.sleep(self._tell(self._others(), monotonic()))
+            await curio.sleep(self._report(self._others(), monotonic()))
 
-    def _tell(self, others: list[HostName], now: float) -> float:
-        """Tell whom it concerns; return the seconds until the next time."""
+    def _report(self, others: list[HostName], now: float) -> float:
+        """Send the reports that are due; return the seconds until the next check."""
         core = self._core()
-        self._follow(self._choice.choose(others, now, core))
-        whole = now - self._told_all_at > REFRESH
-        notice = self._notice(whole, now)
-        members = self._collected.members(now)
+        self._switch_collector(self._selector.choose(others, now, core))
+        full = now - self._reported_all_at > REFRESH_INTERVAL
+        notice = self._notice(full, now)
+        members = self._load_collector.members(now)
         if members:
-            self._collected.take(self._name, notice.loads, now)
-            for host, told in self._collected.notices(now).items():
-                self._peers.post(host, Area.TARGET_LOADS, told)
+            self._load_collector.record(self._name, notice.loads, now)
+            for host, member_notice in self._load_collector.notices(now).items():
+                self._peers.post(host, Area.TARGET_LOADS, member_notice)
         collector = self._collector
         if collector is None:
             notice.kind = NoticeKind.own
-            self._post(others, notice, whole)
+            self._post(others, notice, full)
             if not others:
                 return REPORT_INTERVAL if members else IDLE_INTERVAL
-            return LEAST_INTERVAL + INTERVAL_BY_HOST * len(others)
-        if whole:
-            silent = self._choice.silent_before(collector, others, core)
-            self._post(silent, notice, whole)
+            return MIN_INTERVAL + INTERVAL_PER_HOST * len(others)
+        if full:
+            unresponsive = self._selector.unresponsive_before(collector, others, core)
+            self._post(unresponsive, notice, full)
         if collector != self._name:
-            self._post([collector], notice, whole)
+            self._post([collector], notice, full)
         return REPORT_INTERVAL
 
-    def _follow(self, collector: HostName | None) -> None:
-        """Hear of the others through another host from now on."""
+    def _switch_collector(self, collector: HostName | None) -> None:
+        """Switch to another collector, and drop the data of the former one."""
         if collector == self._collector:
             return
         _log.info("collector of loads", collector=collector, former=self._collector)
         self._collector = collector
-        self._told_all_at = 0.0
-        self._picture.forget()
-        self._told_of_all_at = float("-inf")
+        self._reported_all_at = 0.0
+        self._staleness.forget()
+        self._complete_as_of = float("-inf")
         for tracked in self._table.all():
             tracked.load.forget_others()
-            tracked.told_silent = False
+            tracked.reported_unresponsive = False
 
-    def _notice(self, whole: bool, now: float) -> LoadNotice:
-        """Return what isn't told yet of this host's part and of what it measured."""
-        if whole:
-            self._told_all_at = now
+    def _notice(self, full: bool, now: float) -> LoadNotice:
+        """Return the load changes and measurements that are not reported yet."""
+        if full:
+            self._reported_all_at = now
         speeds = self._speeds
         notice = LoadNotice(
             NoticeKind.to_collect,
             [
-                tracked.tell_load(now)
+                tracked.report_load(now)
                 for tracked in self._table.all()
-                if tracked.load.changed or (whole and tracked.is_in_use(now))
+                if tracked.load.changed or (full and tracked.is_in_use(now))
             ],
             self._settled,
             speeds.first_tokens,
             speeds.holds,
-            span_ms=round((now - (self._told_changes_at or now)) * 1000),
+            span_ms=round((now - (self._reported_changes_at or now)) * 1000),
         )
-        self._told_changes_at = now
+        self._reported_changes_at = now
         self._settled, speeds.first_tokens, speeds.holds = [], [], []
         return notice
 
-    def _post(self, hosts: list[HostName], notice: LoadNotice, whole: bool) -> None:
-        # A host that has nothing in progress says so, or it counts as gone.
-        if whole or notice.loads or notice.settled:
+    def _post(self, hosts: list[HostName], notice: LoadNotice, full: bool) -> None:
+        # An idle host reports, too, or it would count as dead.
+        if full or notice.loads or notice.settled:
             for host in hosts:
                 self._peers.post(host, Area.TARGET_LOADS, notice)
--- a/packages/node/src/bronzepoint_node/placement/_load_sum.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_sum.py
@@ -1,4 +1,4 @@
-"""What several hosts have in progress at one target, added up."""
+"""Sum of the loads of several hosts at one target."""
 
 from collections.abc import Iterable
 from typing import Self
@@ -7,18 +7,18 @@
 
 from bronzepoint_schema.generated.target_loads import TargetLoad
 
-RANKS = 4
-"""Ranks that are told apart; less urgent ones count as the last."""
+RANK_COUNT = 4
+"""Number of distinct ranks; higher ranks are less urgent and count as the last one."""
 
 
-class ReadingHead(Struct, frozen=True):
-    """The prompt that is read now: the one that was sent first of all unread ones.
+class CurrentPrompt(Struct, frozen=True):
+    """The prompt that is being read: the unread prompt that was sent first.
 
     Attributes:
-        sent_at: When it was sent, by the own monotonic clock.
-        began_at: When the engine began to read it, as far as is known.
-        tokens: Prompt tokens that the engine reads for it.
-        rank: How urgent it is.
+        sent_at: When it was sent, by this host's monotonic clock.
+        began_at: Estimated time at which the engine began to read it.
+        tokens: Prompt tokens that the engine has to read.
+        rank: Priority; 0 is the most urgent.
     """
 
     sent_at: float
@@ -28,34 +28,34 @@
 
 
 class LoadSum(Struct):
-    """A sum over hosts.
+    """Load of a target, added up over hosts.
 
     Attributes:
         in_flight: Requests in progress.
-        memory_tokens: Memory that they take up.
-        unread: Prompt tokens that are yet to be read, by rank.
-        head: The prompt that is read now; None: none waits.
+        memory_tokens: Memory that they occupy, in tokens.
+        unread: Prompt tokens that are not read yet, by rank.
+        head: The prompt that is being read; None if there is none.
     """
 
     in_flight: int
     memory_tokens: int
     unread: list[int]
-    head: ReadingHead | None
+    head: CurrentPrompt | None
 
     @property
     def is_quiet(self) -> bool:
-        """Tell whether each of them has begun, as far as can be told."""
-        # Of requests without a prompt nobody tells whether they have.
+        """Return whether every request has started, as far as is known."""
+        # Reports do not say whether requests without a prompt have started.
         has_prompts = self.memory_tokens > 0
         if self.in_flight and not has_prompts:
             return False
         return self.head is None and not any(self.unread)
 
     @classmethod
-    def of(cls, words: Iterable[tuple[float, TargetLoad]]) -> Self:
-        """Add up words of several hosts, each with the time that it speaks of."""
-        total = cls(0, 0, [0] * RANKS, None)
-        for at, load in words:
+    def of(cls, loads: Iterable[tuple[float, TargetLoad]]) -> Self:
+        """Add up the load reports of several hosts, each with its time."""
+        total = cls(0, 0, [0] * RANK_COUNT, None)
+        for at, load in loads:
             total.in_flight += load.in_flight
             total.memory_tokens += load.memory_tokens
             for rank, tokens in enumerate(load.unread):
@@ -63,18 +63,18 @@
             if load.head_tokens:
                 sent_at = at - load.head_age_ms / 1000
                 tokens, rank = load.head_tokens, load.head_rank
-                total.note_head(ReadingHead(sent_at, sent_at, tokens, rank))
+                total.update_head(CurrentPrompt(sent_at, sent_at, tokens, rank))
         return total
 
     def tokens_before(self, rank: int, rate: float, now: float) -> float:
-        """Return the prompt tokens that are read before a new request's own.
+        """Return the prompt tokens that are read before those of a new request.
 
         Args:
             rank: Rank of the new request.
-            rate: Tokens that an engine reads in a second.
+            rate: Tokens that an engine reads per second.
             now: Monotonic seconds.
         """
-        waiting = float(sum(self.unread[: min(rank, RANKS - 1) + 1]))
+        waiting = float(sum(self.unread[: min(rank, RANK_COUNT - 1) + 1]))
         head = self.head
         if head is None:
             return waiting
@@ -83,7 +83,7 @@
             return waiting - read
         return waiting + head.tokens - read
 
-    def note_head(self, head: ReadingHead) -> None:
-        """Keep a prompt where it was sent before the one held."""
+    def update_head(self, head: CurrentPrompt) -> None:
+        """Replace the current prompt if the given one was sent earlier."""
         if self.head is None or head.sent_at < self.head.sent_at:
             self.head = head
--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -1,4 +1,4 @@
-"""Other regions: what is known of them, and which of their hosts to forward to."""
+"""Load of the other regions, and the selection of a host to forward to."""
 
 import math
 import random
@@ -23,42 +23,44 @@
 from ._ask import PlacementAsk
 from ._choice import Elsewhere
 from ._region_owner import weighted_owner
-from ._speeds import Speeds
-
-REGION_TRIP = 0.16
-"""Seconds for a message to another region and back, until it is measured."""
-OWNER_SHARE = 0.6
-"""Part of the objective within which its first answer must be expected there."""
-LOST_HOST_AGE = 3.0
-"""Seconds after which a host of which nothing is heard counts as lost for requests
-that it works on."""
-LOST_HOST_PAUSE = 2.0
-"""Seconds for which a host that couldn't be reached gets nothing."""
-FRESH_HOST_MS = 1000
-"""Age up to which word of a host counts as fresh: two of its messages."""
-WARM_SHARE = 0.5
-"""Part of a prompt that is taken to be cached in another region: hosts don't tell each
-other of caches there."""
-FULL_SHARE = 1.5
-"""Requests in progress for each slot from which on a region gets nothing more."""
+from ._service_estimates import ServiceEstimates
+
+REGION_RTT = 0.16
+"""Seconds of a round trip to another region, until it has been measured."""
+HOLDER_DELAY_SHARE = 0.6
+"""Fraction of the route's objective within which the first event is expected from the
+region that caches a part."""
+LIVE_HOST_AGE = 3.0
+"""Seconds without contact after which a host counts as lost for the requests that it is
+working on."""
+UNREACHABLE_PAUSE = 2.0
+"""Seconds for which a host that could not be reached gets no requests."""
+FRESH_HOST_AGE_MS = 1000
+"""Age in milliseconds up to which the data about a host counts as fresh: two of its
+messages."""
+CACHED_SHARE = 0.5
+"""Fraction of a prompt that is assumed to be cached in another region, whose caches are
+not reported here."""
+FULL_LOAD_FACTOR = 1.5
+"""Requests in progress per slot from which on a region gets no more requests."""
 
 
 class OtherRegions:
-    """Answers whether a request should go to another region, and to which host.
+    """Decides whether a request may be forwarded, and to which host.
 
     Args:
         region: Region of this host.
-        registry: Who lives, and the loads of the regions.
-        speeds: How long requests take.
-        rng: Source of the random draws.
-        link_bytes: Bytes a second on the link of an entry host.
+        registry: Live hosts, and the loads of the regions.
+        speeds: Latency estimates.
+        rng: Random number generator.
+        link_bytes: Bandwidth of an entry host's link in bytes per second.
     """
 
     def __init__(
         self,
         region: RegionName,
         registry: Registry,
-        speeds: Speeds,
+        speeds: ServiceEstimates,
         rng: random.Random,
         link_bytes: float = math.inf,
     ) -> None:
@@ -67,35 +69,38 @@
         self._speeds = speeds
         self._rng = rng
         self._link_bytes = link_bytes
-        self._lost_hosts: dict[str, float] = {}
-        self._sent_away: dict[tuple[RegionName, str], dict[str, float]] = {}
+        self._unreachable_hosts: dict[str, float] = {}
+        self._forwarded: dict[tuple[RegionName, str], dict[str, float]] = {}
 
-    def fresh_terms(
-        self, ask: PlacementAsk, service: str, request: RequestView, now: float
+    def fresh_estimates(
+        self, request: PlacementAsk, service: str, request_view: RequestView, now: float
     ) -> list[RegionTerms]:
-        """Return what each other region of which is heard would bring a request."""
-        return self._terms(ask, service, request, LOAD_EXPIRY, now)
+        """Return the expected cost of each other region with a recent load report."""
+        return self._region_estimates(request, service, request_view, LOAD_EXPIRY, now)
 
     def best(
         self,
-        ask: PlacementAsk,
+        request: PlacementAsk,
         service: str,
-        request: RequestView,
-        known: list[RegionTerms],
+        request_view: RequestView,
+        fresh_estimates: list[RegionTerms],
         now: float,
     ) -> Elsewhere | None:
-        """Return the best other region that may serve it; None: there is none."""
-        # As in a cut of the core: what was known before it is better than nothing.
-        terms = known or self._terms(ask, service, request, LAST_RESORT, now)
-        if not terms:
+        """Return the best other region for a request; None if there is none."""
+        # Without recent data, as in a network partition of the core, older data is
+        # better than none.
+        estimates = fresh_estimates or self._region_estimates(
+            request, service, request_view, LAST_RESORT, now
+        )
+        if not estimates:
             return None
-        chosen = draw_region(terms, request, self._rng)
-        return self._where(chosen, ask, chosen.detail(), chosen.delay)
+        chosen = draw_region(estimates, request_view, self._rng)
+        return self._remote_placement(chosen, request, chosen.detail(), chosen.delay)
 
     def entry_hosts(
         self, region: RegionName, expiry: float = ENTRY_EXPIRY
     ) -> list[EntryHost]:
-        """Return the entry hosts of a region that take requests."""
+        """Return the entry hosts of a region that accept requests."""
         return [
             host
             for host in self._registry.entries(expiry)
@@ -103,97 +108,99 @@
         ]
 
     def host_count(self, region: RegionName) -> int:
-        """Return how many entry hosts of a region take requests."""
+        """Return the number of entry hosts of a region that accept requests."""
         return max(len(self.entry_hosts(region)), self._registry.size(region))
 
     def note_lost_host(self, host: str, now: float) -> None:
-        """Count a host of another region as gone for a while: it can't be reached."""
-        self._lost_hosts[host] = now
+        """Record that a host of another region could not be reached."""
+        self._unreachable_hosts[host] = now
 
     def lives(self, host: str) -> bool:
-        """Tell whether an entry host was heard of lately."""
+        """Return whether there was recent contact with an entry host."""
         return any(
-            known.name == host for known in self._registry.entries(LOST_HOST_AGE)
+            entry.name == host for entry in self._registry.entries(LIVE_HOST_AGE)
         )
 
     def note_forwarded(
         self, region: RegionName, service: str, run_id: str, now: float
     ) -> None:
-        """Count a request that was sent to another region."""
-        self._sent_away.setdefault((region, service), {})[run_id] = now
+        """Record a request that is forwarded to another region."""
+        self._forwarded.setdefault((region, service), {})[run_id] = now
 
     def note_returned(self, region: RegionName, service: str, run_id: str) -> None:
-        """Count a request no more that another region has answered."""
-        self._sent_away.get((region, service), {}).pop(run_id, None)
+        """Remove a forwarded request that has been answered."""
+        self._forwarded.get((region, service), {}).pop(run_id, None)
 
-    def keeper(
+    def cache_holder(
         self,
-        ask: PlacementAsk,
+        request: PlacementAsk,
         service: str,
-        terms: list[RegionTerms],
+        estimates: list[RegionTerms],
         missing: int,
         own_slots: int,
     ) -> Elsewhere | None:
-        """Return the region that keeps a prompt's shared part, where that is worth it.
+        """Return the region that caches a prompt's shared part, if forwarding pays.
 
-        Read in each region, a shared part takes the memory and the time of three
-        engines instead of one. Where the own region hasn't cached it and the answer
-        would still be early, the request goes to the region that has it.
+        If each region read a shared part, it would take memory and time at three
+        engines instead of one. A request whose shared part is not cached here goes to
+        the region that caches it, if its answer is still early there.
 
         Args:
-            ask: The request.
+            request: The request.
             service: Its service.
-            terms: What each other region would bring it.
+            estimates: Expected cost of each other region.
             missing: Tokens of shared parts that are not cached here.
             own_slots: Slots of the targets here.
         """
-        weights = {term.view.name: float(term.view.slots) for term in terms}
+        weights = {
+            estimate.view.name: float(estimate.view.slots) for estimate in estimates
+        }
         weights[self._region] = own_slots
-        owner = weighted_owner(ask.prompt.shared_key, weights)
-        for term in terms:
-            if term.view.name != owner:
+        owner = weighted_owner(request.prompt.shared_key, weights)
+        for estimate in estimates:
+            if estimate.view.name != owner:
                 continue
-            # It is cached there, so only the request's own part is read.
-            cached = WARM_SHARE * missing
-            delay = term.delay - self._speeds.times(service).per_token * cached
-            if delay > OWNER_SHARE * ask.route.objective:
+            # The part is cached there, so only the rest of the prompt has to be read.
+            cached = CACHED_SHARE * missing
+            delay = estimate.delay - self._speeds.times(service).per_token * cached
+            if delay > HOLDER_DELAY_SHARE * request.route.objective:
                 return None
-            detail = f"holds the shared part, {term.detail()}"
-            return self._where(term, ask, detail, delay)
+            detail = f"holds the shared part, {estimate.detail()}"
+            return self._remote_placement(estimate, request, detail, delay)
         return None
 
-    def _where(
-        self, terms: RegionTerms, ask: PlacementAsk, detail: str, delay: float
+    def _remote_placement(
+        self, estimate: RegionTerms, request: PlacementAsk, detail: str, delay: float
     ) -> Elsewhere:
-        region = terms.view.name
-        host = self._rng.choice(self._fit_hosts(region, ask))
+        region = estimate.view.name
+        host = self._rng.choice(self._eligible_hosts(region, request))
         return Elsewhere(region, host.name, host.forward_address, detail, delay)
 
-    def describe(self, service: str, ask: PlacementAsk, now: float) -> list[str]:
-        """Return what is known of the room in each other region, for the log."""
+    def describe(self, service: str, request: PlacementAsk, now: float) -> list[str]:
+        """Return the known free capacity of each other region, for the log."""
         return [
             f"{load.region} {load.in_progress}/{load.slots} {load.age_ms} ms old, "
             f"{self._sent_since(load, now):.0f} sent since, "
-            f"{len(self._fit_hosts(load.region, ask))} hosts"
+            f"{len(self._eligible_hosts(load.region, request))} hosts"
             for load in self._registry.loads()
             if load.service == service and load.region != self._region
         ]
 
-    def _terms(
+    def _region_estimates(
         self,
-        ask: PlacementAsk,
+        request: PlacementAsk,
         service: str,
-        request: RequestView,
+        request_view: RequestView,
         expiry: float,
         now: float,
     ) -> list[RegionTerms]:
-        terms = []
+        estimates = []
         for load in self._registry.loads(expiry):
             if load.service != service or load.region == self._region:
                 continue
-            if not ask.may_go_to(load.region) or load.slots <= 0:
+            if not request.may_go_to(load.region) or load.slots <= 0:
                 continue
-            hosts = self._fit_hosts(load.region, ask)
+            hosts = self._eligible_hosts(load.region, request)
             if not hosts:
                 continue
             sent = self._sent_since(load, now)
@@ -202,47 +209,52 @@
                 slots=load.slots,
                 in_progress=load.in_progress,
                 expected_wait=load.wait_ms / 1000,
-                trip=REGION_TRIP + self._body_time(ask),
+                trip=REGION_RTT + self._transfer_time(request),
                 age=load.age_ms / 1000,
                 hosts=len(hosts),
             )
-            if load.in_progress + sent >= load.slots * FULL_SHARE:
+            if load.in_progress + sent >= load.slots * FULL_LOAD_FACTOR:
                 continue
             times = self._speeds.times(service)
-            terms.append(away_terms(view, request, times, sent, WARM_SHARE))
-        return terms
+            estimates.append(away_terms(view, request_view, times, sent, CACHED_SHARE))
+        return estimates
 
-    def _body_time(self, ask: PlacementAsk) -> float:
-        """Return the seconds in which a body leaves this host, and reaches another.
+    def _transfer_time(self, request: PlacementAsk) -> float:
+        """Return the seconds to send a body from this host and receive it at another.
 
-        A long prompt takes a narrow link longer than the trip. Left out, requests would
-        be sent away that their own region answers sooner.
+        On a narrow link a long prompt takes longer than the round trip. Without this
+        time, requests would be forwarded that this region answers sooner.
         """
-        return 2 * ask.body_bytes / self._link_bytes
+        return 2 * request.body_bytes / self._link_bytes
 
-    def _fit_hosts(self, region: RegionName, ask: PlacementAsk) -> list[EntryHost]:
+    def _eligible_hosts(
+        self, region: RegionName, request: PlacementAsk
+    ) -> list[EntryHost]:
         hosts = self.entry_hosts(region) or self.entry_hosts(region, LAST_RESORT)
         now = monotonic()
-        fit = [
+        eligible = [
             host
             for host in hosts
-            if host.name not in ask.tried_hosts
-            and now - self._lost_hosts.get(host.name, float("-inf")) > LOST_HOST_PAUSE
+            if host.name not in request.tried_hosts
+            and now - self._unreachable_hosts.get(host.name, float("-inf"))
+            > UNREACHABLE_PAUSE
         ]
-        # One that was heard of just now is less likely to be dead.
-        fresh = [host for host in fit if host.age_ms < FRESH_HOST_MS] or fit
+        # A host with recent contact is less likely to be dead.
+        fresh = [
+            host for host in eligible if host.age_ms < FRESH_HOST_AGE_MS
+        ] or eligible
         return [host for host in fresh if not host.lagging] or fresh
 
     def _sent_since(self, load: RegionLoad, now: float) -> float:
-        """Return the requests that a region has got from this one beyond its word.
+        """Return the requests that this region has sent since another's load report.
 
-        Those that it has answered don't count: a plain service whose requests are short
-        would look full in regions that stand idle, as more of them are sent within the
-        age of a word than have room at one moment.
+        Answered requests are excluded. A service with short requests can receive more
+        of them between two reports than it has slots, so that an idle region would look
+        full.
         """
-        sent = self._sent_away.get((load.region, load.service), {})
-        since = now - load.age_ms / 1000 - REGION_TRIP
+        sent = self._forwarded.get((load.region, load.service), {})
+        since = now - load.age_ms / 1000 - REGION_RTT
         recent = {run_id: at for run_id, at in sent.items() if at > since}
         if sent:
-            self._sent_away[load.region, load.service] = recent
+            self._forwarded[load.region, load.service] = recent
         return len(recent) * max(1, self.host_count(self._region))
--- a/packages/node/src/bronzepoint_node/placement/_picture_age.py
+++ b/packages/node/src/bronzepoint_node/placement/_picture_age.py
@@ -1,22 +1,22 @@
-"""How old what one host knows of the others may be."""
+"""Upper bound on the age of the load data that one host has of the others."""
 
 from bronzepoint_schema.ids import HostName
 
 from ._engine_load import NOTICE_EXPIRY
 
-MOST_AGE = NOTICE_EXPIRY
-"""Seconds: older words count for nothing, so no choice rests on them."""
+MAX_AGE = NOTICE_EXPIRY
+"""Seconds; older reports are ignored, so no choice depends on them."""
 
 
-class PictureAge:
-    """Bounds the age of what other hosts have told.
+class StalenessBound:
+    """Bounds the age of the other hosts' load reports.
 
-    A host tells what has changed at an interval, and all of it now and then. So what it
-    has in progress can be as old as the interval that its last notice spans; and once
-    it has missed telling all, as old as that notice.
+    A host reports its changes at an interval and its full load periodically. The data
+    about it is at most as old as the interval that its last notice covers. If a full
+    report is overdue, the data is as old as that notice.
 
     Args:
-        refresh: Seconds after which a host tells all again.
+        refresh: Seconds between two full reports of a host.
     """
 
     def __init__(self, refresh: float) -> None:
@@ -24,29 +24,29 @@
         self._notices: dict[HostName, tuple[float, float]] = {}
 
     def note(self, host: HostName, span: float, now: float) -> None:
-        """Count a notice.
+        """Record a notice.
 
         Args:
-            host: Who sent it.
-            span: Seconds since it had told its changes before.
+            host: Sender of the notice.
+            span: Seconds since the sender's previous report of changes.
             now: Monotonic seconds.
         """
         self._notices[host] = (now, span)
 
     def forget(self) -> None:
-        """Begin anew, as the hosts are heard in another way from now on."""
+        """Drop all notices, before switching to another source of reports."""
         self._notices.clear()
 
     def age(self, now: float) -> float:
-        """Return the seconds that what is known may be old, at most `MOST_AGE`."""
+        """Return the maximum age of the data in seconds, at most `MAX_AGE`."""
         oldest = 0.0
         for host, (at, span) in list(self._notices.items()):
-            silent = now - at
-            if silent >= MOST_AGE:
-                # Its words have expired: nothing is known of it, and nothing used.
+            elapsed = now - at
+            if elapsed >= MAX_AGE:
+                # Its reports have expired and no longer affect any choice.
                 del self._notices[host]
-            elif silent > 2 * self._refresh:
-                oldest = max(oldest, silent)
+            elif elapsed > 2 * self._refresh:
+                oldest = max(oldest, elapsed)
             else:
                 oldest = max(oldest, span)
-        return min(oldest, MOST_AGE)
+        return min(oldest, MAX_AGE)
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -1,4 +1,4 @@
-"""Home or away, and at which target: the choice for one request."""
+"""Choice between this region and others for one request."""
 
 import math
 import random
@@ -13,7 +13,7 @@
 from ._choice import (
     AtHome,
     Elsewhere,
-    HomeAnswer,
+    LocalResult,
     NoHome,
     Placement,
     Rejected,
@@ -21,40 +21,40 @@
 )
 from ._cold_gate import ColdGate
 from ._home_ask import HomeAsk
-from ._home_choice import LAST_RANK, HomeChoice
+from ._local_target_selector import LOWEST_RANK, LocalTargetSelector
 from ._other_regions import OtherRegions
-from ._speeds import Speeds
+from ._service_estimates import ServiceEstimates
 from ._target_table import TargetTable
-from ._tracked import Tracked, is_ejected, is_silent
+from ._tracked_target import TrackedTarget, is_ejected, is_silent
 
-AWAY_ADVANTAGE = 0.15
-"""Seconds by which another region must be sooner: its caches are cold, and what
-crosses between regions is paid for."""
-LEAST_MISSING = 1500
-"""Tokens of shared parts that must be missing at home for a request to go where they
-are kept; fewer are read in less time than the trip takes."""
-PACE_WAIT = 1.0
-"""Seconds after which a caller comes back where all targets write too slowly: so long
-takes the reading of the longest prompts, and the pace remembers little more."""
+MIN_REMOTE_ADVANTAGE = 0.15
+"""Seconds by which another region must be faster to be preferred. Its caches do not
+hold the prompt, and traffic between regions is paid for."""
+MIN_MISSING_TOKENS = 1500
+"""Tokens of shared parts that must be missing in this region for a request to go to the
+region that caches them. Fewer tokens are read in less than a round trip."""
+SLOW_TARGET_WAIT = 1.0
+"""Seconds after which a caller retries when all targets write too slowly. Reading the
+longest prompts takes that long, and the pace measurement hardly covers more."""
 
 
 class Placer:
-    """Chooses by what this host knows; reads no socket and sends nothing.
+    """Places requests using the state of this host, without any I/O.
 
     Args:
         region: Region of this host.
         table: Targets of the region.
-        registry: Who lives, and the loads of the regions.
-        cold: Which host may send to cold targets.
-        rng: Source of the random draws.
-        choosers: Gives the entry hosts of the region that choose targets for
-            themselves; None: all of them do.
-        link_bytes: Bytes a second on the link of an entry host.
+        registry: Live hosts, and the loads of the regions.
+        cold: Rate limit for cold targets.
+        rng: Random number generator.
+        choosers: Returns the entry hosts of the region that select targets themselves;
+            None if all of them do.
+        link_bytes: Bandwidth of an entry host's link in bytes per second.
 
     Attributes:
-        speeds: How long requests take.
+        speeds: Latency estimates.
         regions: The other regions.
-        home: Chooses targets of the own region.
+        home: Selects targets of this region.
     """
 
     def __init__(
@@ -70,9 +70,9 @@
         self._region = region
         self._table = table
         self._rng = rng
-        self.speeds = Speeds()
+        self.speeds = ServiceEstimates()
         self.regions = OtherRegions(region, registry, self.speeds, rng, link_bytes)
-        self.home = HomeChoice(
+        self.home = LocalTargetSelector(
             region,
             table,
             cold,
@@ -83,93 +83,99 @@
         )
 
     def hosts(self) -> list[HostName]:
-        """Return entry hosts of the own region that take requests; few of many."""
+        """Return known entry hosts of this region that accept requests.
+
+        In a large region these are only some of them.
+        """
         return [host.name for host in self.regions.entry_hosts(self._region)]
 
-    def may_stay(self, ask: PlacementAsk) -> bool:
-        """Tell whether the own region may serve a request, and has targets for it."""
-        service = service_of(ask.route, ask.request_id)
-        return ask.may_go_to(self._region) and self._table.has_service(service)
+    def may_stay(self, request: PlacementAsk) -> bool:
+        """Return whether this region may serve a request, and has targets for it."""
+        service = service_of(request.route, request.request_id)
+        return request.may_go_to(self._region) and self._table.has_service(service)
 
-    def home_ask(self, ask: PlacementAsk) -> HomeAsk:
-        """Return what a target of the own region is chosen by."""
+    def home_ask(self, request: PlacementAsk) -> HomeAsk:
+        """Return the input of the selection of a target of this region."""
         return HomeAsk(
-            request_id=ask.request_id,
-            service=service_of(ask.route, ask.request_id),
-            prompt=ask.prompt,
-            left=ask.left,
-            rank=ask.rank,
-            arrived=ask.arrived,
-            avoided=ask.tried,
-            suspect=ask.suspect,
+            request_id=request.request_id,
+            service=service_of(request.route, request.request_id),
+            prompt=request.prompt,
+            time_left=request.time_left,
+            rank=request.rank,
+            arrived=request.arrived,
+            avoided=request.tried,
+            suspect=request.suspect,
         )
 
-    def place(self, ask: PlacementAsk, now: float) -> Placement:
-        """Choose a target here, a host of another region, or a refusal."""
-        if not self.may_stay(ask):
-            return self.decide(ask, NoHome(), now)
-        return self.decide(ask, self.home.choose(self.home_ask(ask), now), now)
+    def place(self, request: PlacementAsk, now: float) -> Placement:
+        """Return a target of this region, a host of another one, or a refusal."""
+        if not self.may_stay(request):
+            return self.decide(request, NoHome(), now)
+        return self.decide(request, self.home.choose(self.home_ask(request), now), now)
 
-    def decide(self, ask: PlacementAsk, found: HomeAnswer, now: float) -> Placement:
-        """Choose between the own region and others.
+    def decide(
+        self, request: PlacementAsk, found: LocalResult, now: float
+    ) -> Placement:
+        """Choose between this region and the others.
 
         Args:
-            ask: The request.
-            found: What was found in the own region.
+            request: The request.
+            found: Result of the target selection in this region.
             now: Monotonic seconds.
         """
-        home = found if isinstance(found, AtHome) else None
-        service = service_of(ask.route, ask.request_id)
-        if ask.forwarded:
-            return home or self._reject(service, found)
-        request = self.home.request_view(self.home_ask(ask))
-        terms = self.regions.fresh_terms(ask, service, request, now)
-        away = self.regions.best(ask, service, request, terms, now)
-        if away is None:
-            return home or self._reject(service, found)
-        if home is None:
-            return away
-        keeper = self._keeper(ask, service, home, terms, now)
-        if keeper is not None:
-            return keeper
-        return away if away.delay + AWAY_ADVANTAGE < home.delay else home
-
-    def _keeper(
+        local = found if isinstance(found, AtHome) else None
+        service = service_of(request.route, request.request_id)
+        if request.forwarded:
+            return local or self._reject(service, found)
+        request_view = self.home.request_view(self.home_ask(request))
+        estimates = self.regions.fresh_estimates(request, service, request_view, now)
+        remote = self.regions.best(request, service, request_view, estimates, now)
+        if remote is None:
+            return local or self._reject(service, found)
+        if local is None:
+            return remote
+        cache_holder = self._cache_holder(request, service, local, estimates, now)
+        if cache_holder is not None:
+            return cache_holder
+        return remote if remote.delay + MIN_REMOTE_ADVANTAGE < local.delay else local
+
+    def _cache_holder(
         self,
-        ask: PlacementAsk,
+        request: PlacementAsk,
         service: str,
-        home: AtHome,
-        terms: list[RegionTerms],
+        local: AtHome,
+        estimates: list[RegionTerms],
         now: float,
     ) -> Elsewhere | None:
-        """Return the region that keeps what of the prompt isn't cached at home.
+        """Return the region that caches parts of the prompt missing in this one.
 
-        What another target of this region keeps is fetched from there, for less than
-        the trip to another region and back.
+        A part that another target of this region caches is copied from there, which
+        costs less than a round trip to another region.
         """
-        prompt = ask.prompt
+        prompt = request.prompt
         if prompt is None or not prompt.shared_key:
             return None
-        missing = prompt.tokens - prompt.parts[-1].tokens - home.cached_tokens
-        if missing < LEAST_MISSING:
+        missing = prompt.tokens - prompt.parts[-1].tokens - local.cached_tokens
+        if missing < MIN_MISSING_TOKENS:
             return None
         usable = self.home.usable(service, now)
         slots = sum(target.slots for target in usable if not is_ejected(target))
-        return self.regions.keeper(ask, service, terms, missing, slots)
+        return self.regions.cache_holder(request, service, estimates, missing, slots)
 
     def region_loads(self, now: float) -> list[RegionLoad]:
-        """Return how busy this region's targets are, for the other regions."""
+        """Return the load of this region's targets, for the other regions."""
         return [
-            self._region_load(service, self._open_to_others(service, now), now)
+            self._region_load(service, self._forwardable_targets(service, now), now)
             for service in self._table.services()
         ]
 
-    def _open_to_others(self, service: str, now: float) -> list[Tracked]:
-        """Return the targets whose room other regions may count on.
+    def _forwardable_targets(self, service: str, now: float) -> list[TrackedTarget]:
+        """Return the targets whose free capacity other regions may use.
 
-        A cold target stands two or three requests a second, which its own region's
-        callers use up. Told with all its slots, it would draw forwarded requests that
-        are each refused after a trip, while they could have waited at home.
+        A cold target handles two or three requests a second, which the callers of its
+        own region use up. If it were reported with all its slots, it would attract
+        forwarded requests that are refused after a round trip, although they could have
+        waited in their own region.
         """
         return [
             tracked
@@ -180,9 +186,9 @@
         ]
 
     def _region_load(
-        self, service: str, targets: list[Tracked], now: float
+        self, service: str, targets: list[TrackedTarget], now: float
     ) -> RegionLoad:
-        views = [self.home.view(t, None, LAST_RANK, now) for t in targets]
+        views = [self.home.view(t, None, LOWEST_RANK, now) for t in targets]
         running = sum(max(v.in_flight, v.running + v.waiting) for v in views)
         slots = sum(v.slots for v in views)
         hold = self.speeds.times(service).hold
@@ -191,19 +197,19 @@
             wait += hold * (running - slots + 1) / slots
         return RegionLoad(self._region, service, slots, running, int(wait * 1000), 0)
 
-    def _reject(self, service: str, found: HomeAnswer) -> Rejected:
-        """Return a refusal that says when to come back."""
+    def _reject(self, service: str, found: LocalResult) -> Rejected:
+        """Return a refusal with the time after which to retry."""
         if isinstance(found, NoHome) and found.late:
-            wait = PACE_WAIT * self._rng.uniform(0.7, 1.5)
+            wait = SLOW_TARGET_WAIT * self._rng.uniform(0.7, 1.5)
             return Rejected(RejectReason.NO_TIME, wait, final=True)
         hold = self.speeds.times(service).hold
         wait = min(3.0, max(0.3, hold / 2)) * self._rng.uniform(0.7, 1.5)
         is_final = isinstance(found, NoHome) and found.crowded
         return Rejected(RejectReason.NO_ROOM, wait, is_final)
 
-    def known_room(self, ask: PlacementAsk, now: float) -> str:
-        """Return what is known of the room for a request, for the log."""
-        service = service_of(ask.route, ask.request_id)
+    def known_room(self, request: PlacementAsk, now: float) -> str:
+        """Return the known free capacity for a request, for the log."""
+        service = service_of(request.route, request.request_id)
         here = [
             f"{t.info.incarnation} {t.load.in_flight(now)}/{t.slots}"
             f"{' silent' if is_silent(t, now) else ''}"
@@ -211,7 +217,7 @@
             f"{' cold' if now < t.cold_until else ''}"
             for t in self._table.of_service(service)
         ]
-        there = self.regions.describe(service, ask, now)
+        there = self.regions.describe(service, request, now)
         closed = sorted(self._table.closed)
-        homes = " and ".join(", ".join(homes) for homes in ask.homes) or "any"
+        homes = " and ".join(", ".join(homes) for homes in request.homes) or "any"
         return "; ".join([*here, *there, f"homes {homes}", f"closed {closed}"])
--- a/packages/node/src/bronzepoint_node/placement/_prompt.py
+++ b/packages/node/src/bronzepoint_node/placement/_prompt.py
@@ -1,23 +1,23 @@
-"""What a request says of its prompt."""
+"""Size and shared parts of a request's prompt."""
 
 from msgspec import Struct
 
 
 class PromptPart(Struct, frozen=True):
-    """A piece of a prompt that other requests may share."""
+    """A piece of a prompt that other requests may have in common."""
 
     name: str
     tokens: int
 
 
 class Prompt(Struct, frozen=True):
-    """A prompt and the room that its answer may take.
+    """A prompt and the space that its answer may take.
 
     Attributes:
-        parts: In order; the last one belongs to the request or to its session.
+        parts: Parts in order; the last one is specific to the request or its session.
         tokens: Tokens of the whole prompt.
-        max_output: Most tokens that may be generated.
-        expected_output: The caller's estimate of them; 0: none.
+        max_output: Maximum number of tokens to generate.
+        expected_output: The caller's estimate of the generated tokens; 0 if none.
     """
 
     parts: tuple[PromptPart, ...]
@@ -27,11 +27,11 @@
 
     @property
     def shared_key(self) -> str:
-        """Name of the last part that others share; empty: none is shared."""
+        """Name of the last shared part; empty if no part is shared."""
         return self.parts[-2].name if len(self.parts) > 1 else ""
 
     @property
     def memory_tokens(self) -> int:
-        """Memory that it takes up besides what is shared, at a fair guess."""
+        """Estimated memory in tokens, without the shared parts."""
         own = self.parts[-1].tokens if self.parts else self.tokens
         return own + (self.expected_output or self.max_output)
--- a/packages/node/src/bronzepoint_node/placement/_reading_rate.py
+++ b/packages/node/src/bronzepoint_node/placement/_reading_rate.py
@@ -1,35 +1,36 @@
-"""How fast engines read prompts."""
+"""Estimate of how fast engines read prompts."""
 
 from msgspec import Struct
 
-FIRST_RATE = 35_000.0
-"""Tokens a second until the first prompts are read."""
-LEAST_TOKENS = 1500
-"""Shorter prompts say more of the batch's pace than of the reading."""
-WEIGHT = 0.1
+INITIAL_RATE = 35_000.0
+"""Tokens per second, until the first prompts have been measured."""
+MIN_TOKENS = 1500
+"""Shorter prompts measure the pace of the batch rather than the reading rate."""
+SMOOTHING = 0.1
+"""Weight of a new measurement in the moving average."""
 
 
 class ReadingRate(Struct):
-    """Running estimate for the engines of one service, in tokens a second.
+    """Moving average over the engines of one service, in tokens per second.
 
-    Only prompts before which nothing lay count: the time of the others is mostly
-    waiting, and a rate that is taken too low makes every engine look busy.
+    Only prompts that are read at once count. For queued ones most of the time is
+    waiting, and a rate that is too low makes every engine look busy.
     """
 
-    tokens_per_second: float = FIRST_RATE
+    tokens_per_second: float = INITIAL_RATE
 
     def add(self, uncached: int, seconds: float, before: float) -> None:
-        """Take in the time to the first token of one request.
+        """Apply the time to the first token of one request.
 
         Args:
             uncached: Tokens that were read for it.
-            seconds: From its sending to the first token.
-            before: Tokens that lay before it.
+            seconds: Time from sending it to the first token.
+            before: Tokens queued ahead of it.
         """
-        if uncached < LEAST_TOKENS or before > 0.1 * uncached or seconds <= 0:
+        if uncached < MIN_TOKENS or before > 0.1 * uncached or seconds <= 0:
             return
         rate = uncached / seconds
-        # A prompt that was believed cached, or not, is off by a multiple.
+        # A wrong assumption about the cache changes the rate by a multiple.
         if not 0.3 < rate / self.tokens_per_second < 3:
             return
-        self.tokens_per_second += WEIGHT * (rate - self.tokens_per_second)
+        self.tokens_per_second += SMOOTHING * (rate - self.tokens_per_second)
--- a/packages/node/src/bronzepoint_node/placement/_region_owner.py
+++ b/packages/node/src/bronzepoint_node/placement/_region_owner.py
@@ -1,4 +1,4 @@
-"""Which region keeps a shared part of prompts."""
+"""Assignment of shared parts of prompts to regions."""
 
 import math
 
@@ -9,15 +9,15 @@
 
 
 def weighted_owner(key: str, weights: dict[RegionName, float]) -> RegionName | None:
-    """Return the region that a key belongs to, by weighted rendezvous hash.
+    """Return the region that owns a key, by weighted rendezvous hash.
 
-    All hosts that know the same weights find the same region, and each region gets
-    keys in proportion to its weight. A region whose weight changes wins or loses only
-    its own keys.
+    Hosts with the same weights find the same owner, and each region owns keys in
+    proportion to its weight. If the weight of a region changes, only keys that it gains
+    or loses move.
 
     Args:
         key: Name of the shared part.
-        weights: Slots of the targets of each region; 0: it gets nothing.
+        weights: Slots of the targets by region; a region with 0 owns no key.
     """
     best: tuple[float, RegionName] | None = None
     for region, weight in sorted(weights.items()):
--- a/packages/node/src/bronzepoint_node/placement/_reservations.py
+++ b/packages/node/src/bronzepoint_node/placement/_reservations.py
@@ -1,50 +1,53 @@
-"""Where what was granted to other hosts counts, until their own parts tell of it."""
+"""Grants to other hosts that their own load reports do not include yet."""
 
 from collections.abc import Iterable
 
 from bronzepoint_schema.ids import HostName
 
-from ._engine_load import RESERVED_FOR, OwnRun
+from ._engine_load import RESERVATION_EXPIRY, OwnRun
 from ._prompt import Prompt
-from ._tracked import Tracked
+from ._tracked_target import TrackedTarget
 
 
 class Reservations:
-    """Finds the target of a grant without a look at all targets."""
+    """Index of the granted requests by host and query number.
+
+    It makes finding the target of a grant independent of the number of targets.
+    """
 
     def __init__(self) -> None:
-        self._targets: dict[tuple[HostName, int], tuple[float, Tracked]] = {}
+        self._targets: dict[tuple[HostName, int], tuple[float, TrackedTarget]] = {}
 
     def add(
         self,
         host: HostName,
         number: int,
-        target: Tracked,
+        target: TrackedTarget,
         prompt: Prompt | None,
         run: OwnRun,
     ) -> None:
-        """Count a request that a host was told to send to a target.
+        """Record a request that a host was granted at a target.
 
         Args:
             host: That host.
-            number: Its ask.
+            number: Number of its query.
             target: The target.
-            prompt: The request's prompt; None: it has none.
+            prompt: The request's prompt; None if it has none.
             run: The request.
         """
         target.reserve(host, number, prompt, run)
-        self._forget_before(run.sent_at - RESERVED_FOR)
+        self._forget_before(run.sent_at - RESERVATION_EXPIRY)
         self._targets[host, number] = (run.sent_at, target)
 
     def settle(self, host: HostName, numbers: Iterable[int]) -> None:
-        """Count them no more: the host's own part tells of them."""
+        """Remove grants that the host's own load report now includes."""
         for number in numbers:
             _, target = self._targets.pop((host, number), (0.0, None))
             if target is not None:
                 target.load.settle(host, [number])
 
     def _forget_before(self, moment: float) -> None:
-        """Drop those that count no more by themselves; they stand in order of time."""
+        """Drop grants that have expired; they are ordered by time."""
         while self._targets:
             first = next(iter(self._targets))
             if self._targets[first][0] >= moment:
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -1,4 +1,4 @@
-"""Choosing targets for requests of this host, and of others that ask it to."""
+"""Selection of targets for requests of this host and queries of other hosts."""
 
 import itertools
 from collections.abc import Callable
@@ -9,100 +9,101 @@
 from bronzepoint_schema.generated.target_loads import PartUse
 from bronzepoint_schema.ids import HostName
 
-from ._choice import AtHome, HomeAnswer, NoHome
+from ._choice import AtHome, LocalResult, NoHome
 from ._cold_gate import ColdGate
 from ._engine_load import OwnRun
 from ._home_ask import HomeAsk
-from ._home_choice import HomeChoice
+from ._local_target_selector import LocalTargetSelector
 from ._prompt import Prompt, PromptPart
 from ._reservations import Reservations
-from ._tracked import is_silent
-from ._waiting_line import HEADS, Waiter, WaitingLine
+from ._tracked_target import is_silent
+from ._waiting_line import HEAD_COUNT, QueuedRequest, RequestQueue
 
-LEAST_PAUSE = 0.02
-"""Seconds between two looks for room of one line."""
+MIN_POLL_PAUSE = 0.02
+"""Minimum seconds between two checks of a queue for free capacity."""
 
-MOST_WAIT = 1.0
-"""Seconds for which a request stands in line before it looks elsewhere, too: were each
-to ask again and again, a burst would take up the scheduler's processor."""
+MAX_WAIT = 1.0
+"""Seconds that a request waits in the queue before its host checks other regions, too.
+If hosts repeated their queries at short intervals instead, a burst would use up the
+scheduler's processor."""
 
 Claim = Callable[[AtHome], None]
-"""Counts a request at its target, before anything else is placed."""
+"""Counts a request at its target, before any other request is placed."""
 
 
 @dataclass(order=True)
-class _Waiting(Waiter):
-    """A request in line, and what was found for it."""
+class _QueuedPlacement(QueuedRequest):
+    """A queued request and the result of its placement."""
 
-    ask: HomeAsk = field(kw_only=True, compare=False)
+    request: HomeAsk = field(kw_only=True, compare=False)
     claim: Claim = field(kw_only=True, compare=False)
-    found: HomeAnswer = field(default=NoHome(), kw_only=True, compare=False)
+    found: LocalResult = field(default=NoHome(), kw_only=True, compare=False)
 
 
 class Scheduler:
-    """Places requests by what one host knows, the urgent ones first.
+    """Places the requests of all hosts from the state of one, urgent ones first.
 
-    Many hosts that choose by what they knew a moment ago all choose the target that was
-    idle then: it is overrun, and rejects or preempts, while others stand idle. Where
-    one host chooses for all, each choice knows of those before it.
+    If many hosts choose with slightly outdated data, all choose the target that was
+    idle before. It is overloaded, and refuses or preempts requests, while others are
+    idle. When one host chooses for all, every choice includes the previous ones.
 
     Args:
         name: This host.
-        home: Chooses targets.
-        cold: How many requests cold targets get.
-        reservations: Where what is granted counts.
-        known_age: Gives the seconds that what this host knows of others may be old.
+        selector: Selects targets of this region.
+        cold: Rate limit for cold targets.
+        reservations: Requests granted by this host.
+        known_age: Returns the maximum age in seconds of this host's data about others.
     """
 
     def __init__(
         self,
         name: HostName,
-        home: HomeChoice,
+        selector: LocalTargetSelector,
         cold: ColdGate,
         reservations: Reservations,
         known_age: Callable[[float], float],
     ) -> None:
         self._name = name
         self._numbers = itertools.count()
-        self._home = home
+        self._selector = selector
         self._cold = cold
         self._reservations = reservations
         self._known_age = known_age
-        self._lines: dict[str, WaitingLine] = {}
+        self._queues: dict[str, RequestQueue] = {}
 
-    async def find(self, ask: HomeAsk, wait: float) -> HomeAnswer:
+    async def find(self, request: HomeAsk, wait: float) -> LocalResult:
         """Return a target for a request of this host, as soon as there is one.
 
-        Whoever asks counts the request at its target at once.
+        The caller counts the request at its target immediately.
 
         Args:
-            ask: The request.
-            wait: Seconds for which it may stand in line; 0: it doesn't.
+            request: The request.
+            wait: Seconds that it may wait in the queue; 0 for no waiting.
         """
         number = next(self._numbers)
 
         def claim(found: AtHome) -> None:
-            self._reserve(self._name, number, ask, found)
+            self._reserve(self._name, number, request, found)
 
-        found = await self._find(ask, wait, claim)
+        found = await self._find(request, wait, claim)
         if isinstance(found, AtHome):
             self._reservations.settle(self._name, [number])
         return found
 
-    async def answer(self, host: HostName, asked: TargetAsk) -> TargetGrant | NoTarget:
-        """Answer another host; what it is granted counts from then on."""
-        ask = _read_ask(asked, monotonic())
+    async def answer(self, host: HostName, query: TargetAsk) -> TargetGrant | NoTarget:
+        """Answer a query of another host, and reserve what it is granted."""
+        request = _read_query(query, monotonic())
 
         def claim(found: AtHome) -> None:
-            self._reserve(host, asked.number, ask, found)
+            self._reserve(host, query.number, request, found)
 
-        found = await self._find(ask, asked.wait_ms / 1000, claim)
+        found = await self._find(request, query.wait_ms / 1000, claim)
         match found:
             case NoHome(late=late, crowded=crowded):
-                return NoTarget(asked.number, late, crowded=crowded)
+                return NoTarget(query.number, late, crowded=crowded)
             case AtHome(target=target, fetch_from=source):
                 return TargetGrant(
-                    asked.number,
+                    query.number,
                     target.info.incarnation,
                     source.info.incarnation if source else "",
                     found.cached_tokens,
@@ -113,108 +114,110 @@
                     found.quiet,
                 )
 
-    async def _find(self, ask: HomeAsk, wait: float, claim: Claim) -> HomeAnswer:
-        found = self._choose(ask, claim)
-        if wait <= 0 or not _lacks_room(found):
+    async def _find(self, request: HomeAsk, wait: float, claim: Claim) -> LocalResult:
+        found = self._choose(request, claim)
+        if wait <= 0 or not _lacks_capacity(found):
             return found
-        line = self._lines.setdefault(ask.service, WaitingLine())
-        if self._home.seconds_to_drain(ask.service, len(line) + 1) > wait:
-            # It would be turned away at the end: its caller is told now.
+        queue = self._queues.setdefault(request.service, RequestQueue())
+        if self._selector.seconds_to_drain(request.service, len(queue) + 1) > wait:
+            # The request would not be served in time, so its host gets the answer now.
             return replace(found, crowded=True)
-        until = monotonic() + min(wait, MOST_WAIT)
-        waiter = _Waiting(ask.rank, ask.arrived, until, ask=ask, claim=claim)
-        line.join(waiter)
+        until = monotonic() + min(wait, MAX_WAIT)
+        queued = _QueuedPlacement(
+            request.rank, request.arrived, until, request=request, claim=claim
+        )
+        queue.join(queued)
         try:
-            while _lacks_room(waiter.found) and await line.wait(waiter):
-                await self._look(line)
+            while _lacks_capacity(queued.found) and await queue.wait(queued):
+                await self._serve_queue(queue)
         finally:
-            await line.leave(waiter)
-        return waiter.found
+            await queue.leave(queued)
+        return queued.found
 
-    async def _look(self, line: WaitingLine) -> None:
-        """Give what room there is to those in line, whoever looks.
+    async def _serve_queue(self, queue: RequestQueue) -> None:
+        """Assign free capacity to the queued requests.
 
-        One look serves as many as there is room for. Were each to look when it moves
-        up, a long line would use up the processor; were only the first few served, it
-        would empty slowly though targets stand idle.
+        One call serves as many requests as there is capacity for. If each request
+        checked when it moves up, a long queue would use up the processor. If only the
+        first few were served, the queue would drain slowly beside idle targets.
         """
         now = monotonic()
-        if now < line.looked_at + LEAST_PAUSE:
+        if now < queue.polled_at + MIN_POLL_PAUSE:
             return
-        line.looked_at = now
+        queue.polled_at = now
         failed = 0
-        for waiter in line.in_order():
-            if not _lacks_room(waiter.found):
+        for queued in queue.in_order():
+            if not _lacks_capacity(queued.found):
                 continue
-            waiter.found = self._choose(waiter.ask, waiter.claim)
-            if not _lacks_room(waiter.found):
-                await waiter.moved_up.set()
+            queued.found = self._choose(queued.request, queued.claim)
+            if not _lacks_capacity(queued.found):
+                await queued.wakeup.set()
                 continue
             failed += 1
-            if failed == HEADS:
+            if failed == HEAD_COUNT:
                 return
 
-    def _choose(self, ask: HomeAsk, claim: Claim) -> HomeAnswer:
+    def _choose(self, request: HomeAsk, claim: Claim) -> LocalResult:
         now = monotonic()
-        found = self._home.choose(ask, now)
+        found = self._selector.choose(request, now)
         if isinstance(found, NoHome):
             return found
         claim(found)
         return replace(found, known_age=self._known_age(now))
 
     def _reserve(
-        self, host: HostName, number: int, ask: HomeAsk, found: AtHome
+        self, host: HostName, number: int, request: HomeAsk, found: AtHome
     ) -> None:
         now = monotonic()
-        target, prompt = found.target, ask.prompt
+        target, prompt = found.target, request.prompt
         if now < target.cold_until:
             self._cold.note_sent(target.info.incarnation, now)
         if is_silent(target, now):
             target.trial_at = now
-        if ask.suspect:
-            target.set_apart(now)
+        if request.suspect:
+            target.isolate(now)
         memory = prompt.memory_tokens if prompt else 0
         uncached = prompt.tokens - found.cached_tokens if prompt else 0
-        run = OwnRun(memory, uncached, ask.rank, now)
+        run = OwnRun(memory, uncached, request.rank, now)
         self._reservations.add(host, number, target, prompt, run)
 
 
-def make_ask(ask: HomeAsk, number: int, wait: float, now: float) -> TargetAsk:
-    """Return a request in the form in which another host is asked for a target."""
-    prompt = ask.prompt
+def make_query(request: HomeAsk, number: int, wait: float, now: float) -> TargetAsk:
+    """Return a request as a query to another host."""
+    prompt = request.prompt
     return TargetAsk(
         number=number,
-        service=ask.service,
-        request_id=ask.request_id,
+        service=request.service,
+        request_id=request.request_id,
         parts=[PartUse(p.name, p.tokens) for p in prompt.parts] if prompt else [],
         tokens=prompt.tokens if prompt else -1,
         max_output=prompt.max_output if prompt else 0,
         expected_output=prompt.expected_output if prompt else 0,
-        rank=ask.rank,
-        left_ms=int(ask.left * 1000),
-        waited_ms=int((now - ask.arrived) * 1000),
+        rank=request.rank,
+        left_ms=int(request.time_left * 1000),
+        waited_ms=int((now - request.arrived) * 1000),
         wait_ms=int(wait * 1000),
-        avoided=sorted(ask.avoided),
-        suspect=ask.suspect,
+        avoided=sorted(request.avoided),
+        suspect=request.suspect,
     )
 
 
-def _read_ask(asked: TargetAsk, now: float) -> HomeAsk:
+def _read_query(query: TargetAsk, now: float) -> HomeAsk:
     prompt = None
-    if asked.tokens >= 0:
-        parts = tuple(PromptPart(part.name, part.tokens) for part in asked.parts)
-        prompt = Prompt(parts, asked.tokens, asked.max_output, asked.expected_output)
+    if query.tokens >= 0:
+        parts = tuple(PromptPart(part.name, part.tokens) for part in query.parts)
+        prompt = Prompt(parts, query.tokens, query.max_output, query.expected_output)
     return HomeAsk(
-        request_id=asked.request_id,
-        service=asked.service,
+        request_id=query.request_id,
+        service=query.service,
         prompt=prompt,
-        left=asked.left_ms / 1000,
-        rank=asked.rank,
-        arrived=now - asked.waited_ms / 1000,
-        avoided=set(asked.avoided),
-        suspect=asked.suspect,
+        time_left=query.left_ms / 1000,
+        rank=query.rank,
+        arrived=now - query.waited_ms / 1000,
+        avoided=set(query.avoided),
+        suspect=query.suspect,
     )
 
 
-def _lacks_room(found: HomeAnswer) -> bool:
+def _lacks_capacity(found: LocalResult) -> bool:
     return isinstance(found, NoHome) and not found.late
--- a/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
@@ -1,4 +1,4 @@
-"""Finding targets through the scheduler of the region: asks and their answers."""
+"""Queries to the scheduler of the region, and answers to other hosts' queries."""
 
 import dataclasses
 import itertools
@@ -20,44 +20,45 @@
 )
 from bronzepoint_schema.ids import HostName
 
-from ._choice import AtHome, HomeAnswer, NoHome
+from ._choice import AtHome, LocalResult, NoHome
 from ._home_ask import HomeAsk
 from ._load_exchange import LoadExchange
-from ._scheduler import MOST_WAIT, Scheduler, make_ask
+from ._scheduler import MAX_WAIT, Scheduler, make_query
 from ._target_table import TargetTable
-from ._tracked import Tracked, is_ejected
+from ._tracked_target import TrackedTarget, is_ejected
 
 ANSWER_TIMEOUT = 0.15
-"""Seconds to wait for an answer, besides the time that a request may stand in line:
-many times the trip inside a region, and a fraction of any objective."""
-MOST_UNANSWERED = 2
-"""Asks in a row without an answer after which a scheduler counts as silent."""
+"""Seconds to wait for an answer, in addition to the time in the queue. It is many times
+the round trip inside a region, and a fraction of any objective."""
+MAX_UNANSWERED = 2
+"""Consecutive queries without an answer after which a scheduler counts as
+unresponsive."""
 
 _log = get_logger("placement")
 
 
 @dataclasses.dataclass
-class _Open:
-    """An ask that waits for its answer."""
+class _PendingQuery:
+    """A query that has not been answered yet."""
 
     done: curio.Event = dataclasses.field(default_factory=curio.Event)
     answer: TargetGrant | NoTarget | None = None
 
 
 class SchedulerClient:
-    """Finds targets: asks the region's scheduler, or chooses here where none answers.
+    """Finds targets through the region's scheduler, or locally if it is unresponsive.
 
-    Other hosts' asks are answered by the scheduler of this one: it is asked only where
-    they take it for that of the region.
+    Queries of other hosts are answered by this host's scheduler. Hosts send them only
+    while they take this host for the scheduler of the region.
 
     Args:
-        peers: Links to the other hosts.
+        peers: Connections to the other hosts.
         table: Targets of the region.
-        exchange: Knows who the scheduler is.
-        scheduler: Chooses on this host.
-        registry: How busy the regions are.
+        exchange: Knows which host is the scheduler.
+        scheduler: Selects targets on this host.
+        registry: Loads of the regions.
         metrics: Counters.
-        update: Brings the table up to date, where that isn't done for each change.
+        update: Updates the table, where that is not done on each change.
     """
 
     def __init__(
@@ -77,49 +78,53 @@
         self._registry = registry
         self._metrics = metrics
         self._update = update
-        # A host that was started anew must not settle what its former self was granted.
+        # The random start keeps a restarted host from settling grants of its previous
+        # process.
         self._numbers = itertools.count(random.getrandbits(40))
-        self._open: dict[int, _Open] = {}
+        self._pending: dict[int, _PendingQuery] = {}
         self._unanswered = 0
         self._tasks = curio.TaskGroup()
-        peers.register(Area.SCHEDULING, SchedulingMessage, self._take)
+        peers.register(Area.SCHEDULING, SchedulingMessage, self._handle_message)
 
     async def close(self) -> None:
-        """Stop answering."""
+        """Stop answering queries."""
         await self._tasks.cancel_remaining()
 
-    async def find(self, ask: HomeAsk, wait: float) -> HomeAnswer:
+    async def find(self, request: HomeAsk, wait: float) -> LocalResult:
         """Return a target of the region, as soon as there is one.
 
         Args:
-            ask: The request.
-            wait: Seconds for which it may stand in line; 0: it doesn't.
+            request: The request.
+            wait: Seconds that it may wait in the queue; 0 for no waiting.
         """
         scheduler = self._exchange.scheduler
         if scheduler is None:
-            return await self._scheduler.find(ask, wait)
+            return await self._scheduler.find(request, wait)
         began = monotonic()
-        answer = await self._ask(scheduler, ask, wait)
-        asked = f"asked {scheduler}, {(monotonic() - began) * 1000:.0f} ms"
+        answer = await self._query(scheduler, request, wait)
+        timing = f"asked {scheduler}, {(monotonic() - began) * 1000:.0f} ms"
         match answer:
             case NoTarget(late=late, crowded=crowded):
                 return NoHome(late, crowded)
             case TargetGrant():
                 target = self._table.get(answer.incarnation)
                 if target is not None:
-                    return self._at_home(target, answer, asked)
-        # Nobody answers, or what was granted isn't known here yet.
+                    return self._local_placement(target, answer, timing)
+        # The scheduler did not answer, or granted a target that this host does not know
+        # yet.
         self._metrics.incr("schedule.own_choice")
-        found = await self._scheduler.find(ask, 0.0)
+        found = await self._scheduler.find(request, 0.0)
         if isinstance(found, AtHome):
-            reason = f"{found.reason}; {asked}, own choice"
+            reason = f"{found.reason}; {timing}, own choice"
             return dataclasses.replace(found, reason=reason)
         return found
 
-    def _at_home(self, target: Tracked, grant: TargetGrant, asked: str) -> AtHome:
+    def _local_placement(
+        self, target: TrackedTarget, grant: TargetGrant, timing: str
+    ) -> AtHome:
         return AtHome(
             target,
-            f"{grant.reason}; {asked}",
+            f"{grant.reason}; {timing}",
             grant.delay_ms / 1000,
             self._table.get(grant.fetch_from),
             grant.cached_tokens,
@@ -128,86 +133,88 @@
             grant.quiet,
         )
 
-    async def _ask(
-        self, scheduler: HostName, ask: HomeAsk, wait: float
+    async def _query(
+        self, scheduler: HostName, request: HomeAsk, wait: float
     ) -> TargetGrant | NoTarget | None:
-        """Return the scheduler's answer; None: it didn't come."""
+        """Return the scheduler's answer; None if none arrived in time."""
         began = monotonic()
         number = next(self._numbers)
-        asked = make_ask(ask, number, wait, began)
-        asked.avoided += self._unusable(ask.service, began)
-        opened = self._open[number] = _Open()
-        self._peers.post(scheduler, Area.SCHEDULING, asked)
+        query = make_query(request, number, wait, began)
+        query.avoided += self._unusable(request.service, began)
+        pending = self._pending[number] = _PendingQuery()
+        self._peers.post(scheduler, Area.SCHEDULING, query)
         try:
-            async with curio.ignore_after(min(wait, MOST_WAIT) + ANSWER_TIMEOUT):
-                await opened.done.wait()
+            async with curio.ignore_after(min(wait, MAX_WAIT) + ANSWER_TIMEOUT):
+                await pending.done.wait()
         finally:
-            del self._open[number]
-            if isinstance(opened.answer, TargetGrant):
-                # From its next notice on, this host's own part tells of the request.
+            del self._pending[number]
+            if isinstance(pending.answer, TargetGrant):
+                # This host's next load report includes the request.
                 self._exchange.note_settled(number)
         self._metrics.timing("schedule.ask_ms", (monotonic() - began) * 1000)
-        if opened.answer is None:
+        if pending.answer is None:
             self._note_unanswered(scheduler)
         else:
             self._unanswered = 0
-        return opened.answer
+        return pending.answer
 
     def _unusable(self, service: str, now: float) -> list[str]:
-        """Return the targets that this host can't use, though others may."""
-        self._table.let_return(service, now)
+        """Return the targets that this host cannot use, although others may."""
+        self._table.begin_due_return(service, now)
         known = self._table.of_service(service)
         return [
             target.info.incarnation
             for target in known
-            if is_ejected(target) or target.is_shunned_here(now)
+            if is_ejected(target) or target.is_avoided_here(now)
         ]
 
     def _note_unanswered(self, scheduler: HostName) -> None:
         self._metrics.incr("schedule.unanswered")
         self._unanswered += 1
-        if self._unanswered >= MOST_UNANSWERED:
+        if self._unanswered >= MAX_UNANSWERED:
             self._unanswered = 0
             _log.warning("scheduler silent", scheduler=scheduler)
-            self._exchange.leave(scheduler)
+            self._exchange.abandon_collector(scheduler)
 
-    async def _take(self, peer: HostName, message: SchedulingMessage) -> None:
+    async def _handle_message(self, peer: HostName, message: SchedulingMessage) -> None:
         match message:
-            case TargetAsk(service=service) if not self._knows(service):
-                # A host that was just started knows no targets yet. Told that there is
-                # none, the caller would be turned away; without an answer its host
-                # chooses by itself, and asks the next one.
+            case TargetAsk(service=service) if not self._knows_service(service):
+                # A host that has just started has no targets yet. Answering that there
+                # is none would get the caller's request refused. Without an answer its
+                # host selects a target itself, and switches to another scheduler.
                 self._metrics.incr("schedule.not_known")
             case TargetAsk(wait_ms=0):
                 await self._answer(peer, message)
             case TargetAsk():
-                # It stands in line: what else the peer says must not wait for it.
+                # The request waits in the queue; other messages of the peer must not
+                # wait for it.
                 await self._tasks.spawn(self._answer, peer, message)
             case TargetGrant() | NoTarget():
                 await self._resolve(message)
 
-    def _knows(self, service: str) -> bool:
+    def _knows_service(self, service: str) -> bool:
         if self._update is not None and not self._table.has_service(service):
-            # The catalogue may have named it just now.
+            # The catalogue may have just added the service.
             self._update()
         return self._table.has_service(service)
 
-    async def _answer(self, peer: HostName, asked: TargetAsk) -> None:
-        answer = await self._scheduler.answer(peer, asked)
+    async def _answer(self, peer: HostName, query: TargetAsk) -> None:
+        answer = await self._scheduler.answer(peer, query)
         if isinstance(answer, NoTarget):
-            # Its host looks elsewhere now, and what it was told may be old.
+            # The host now considers other regions, and its data about them may be
+            # outdated.
             loads = self._registry.loads()
-            answer.loads = [load for load in loads if load.service == asked.service]
+            answer.loads = [load for load in loads if load.service == query.service]
         self._peers.post(peer, Area.SCHEDULING, answer)
 
     async def _resolve(self, answer: TargetGrant | NoTarget) -> None:
         if isinstance(answer, NoTarget):
             self._registry.hear_loads(answer.loads)
-        opened = self._open.get(answer.number)
-        if opened is not None:
-            opened.answer = answer
-            await opened.done.set()
+        pending = self._pending.get(answer.number)
+        if pending is not None:
+            pending.answer = answer
+            await pending.done.set()
         elif isinstance(answer, TargetGrant):
-            # It came too late: what was granted isn't used.
+            # The grant arrived too late and is not used.
             self._metrics.incr("schedule.late_grant")
             self._exchange.note_settled(answer.number)
--- a/packages/node/src/bronzepoint_node/placement/_speeds.py
+++ b/packages/node/src/bronzepoint_node/placement/_service_estimates.py
@@ -1,4 +1,4 @@
-"""How long the requests of each service take."""
+"""Estimates of how long the requests of each service take."""
 
 from bronzepoint_node.policy import ServiceTimes
 from bronzepoint_schema.generated.target_loads import FirstToken, Hold
@@ -6,20 +6,22 @@
 
 from ._reading_rate import ReadingRate
 
-ENGINE_PER_TOKEN = 1 / 35_000
-"""Seconds to read a prompt token until it is measured."""
-MOST_BEFORE = 500
-"""Prompt tokens before a request up to which its time says how fast a target is."""
-MOST_UNTOLD = 200
-"""Measurements kept for the host that is told of them; the newest go first."""
+INITIAL_SECONDS_PER_TOKEN = 1 / 35_000
+"""Seconds to read a prompt token, until it has been measured."""
+MAX_TOKENS_BEFORE = 500
+"""Prompt tokens queued ahead of a request up to which its time to the first token
+measures the target's speed."""
+MAX_UNREPORTED = 200
+"""Measurements kept until they are reported; the oldest are dropped first."""
 
 
-class Speeds:
-    """Running estimates for each service; what is sent there teaches them.
+class ServiceEstimates:
+    """Moving estimates for each service, learned from the requests sent to it.
 
     Attributes:
-        first_tokens: Measured by this host, and not told yet.
-        holds: The same.
+        first_tokens: Times to the first token measured by this host, and not reported
+            yet.
+        holds: Durations of requests measured by this host, and not reported yet.
     """
 
     def __init__(self) -> None:
@@ -29,25 +31,27 @@
         self._rates: dict[str, ReadingRate] = {}
 
     def times(self, service: str) -> ServiceTimes:
-        """Return what is known of a service's durations."""
+        """Return the duration estimates of a service."""
         times = self._times.get(service)
         if times is None:
-            times = self._times[service] = ServiceTimes(per_token=ENGINE_PER_TOKEN)
+            times = self._times[service] = ServiceTimes(
+                per_token=INITIAL_SECONDS_PER_TOKEN
+            )
         return times
 
     def rate(self, service: str) -> ReadingRate:
-        """Return how fast the engines of a service read prompts."""
+        """Return the rate at which the engines of a service read prompts."""
         return self._rates.setdefault(service, ReadingRate())
 
     def note_first_token(self, service: str, measured: FirstToken, now: float) -> None:
-        """Learn from the time to the first token of one of this host's requests."""
+        """Record the time to the first token of a request of this host."""
         self.learn_first_token(service, measured, now)
         self.first_tokens.append(measured)
-        del self.first_tokens[:-MOST_UNTOLD]
+        del self.first_tokens[:-MAX_UNREPORTED]
 
     def learn_first_token(self, service: str, measured: FirstToken, now: float) -> None:
-        """Learn from the time to the first token of any host's request."""
-        if measured.before >= MOST_BEFORE:
+        """Apply the time to the first token of a request of any host."""
+        if measured.before >= MAX_TOKENS_BEFORE:
             return
         seconds = measured.ms / 1000
         target = TargetName(measured.incarnation)
@@ -55,11 +59,11 @@
         self.rate(service).add(measured.tokens, seconds, measured.before)
 
     def note_hold(self, measured: Hold) -> None:
-        """Learn from how long one of this host's requests took."""
+        """Record how long a request of this host took."""
         self.learn_hold(measured)
         self.holds.append(measured)
-        del self.holds[:-MOST_UNTOLD]
+        del self.holds[:-MAX_UNREPORTED]
 
     def learn_hold(self, measured: Hold) -> None:
-        """Learn from how long any host's request took."""
+        """Apply how long a request of any host took."""
         self.times(measured.service).add_hold(measured.ms / 1000)
--- a/packages/node/src/bronzepoint_node/placement/_target_groups.py
+++ b/packages/node/src/bronzepoint_node/placement/_target_groups.py
@@ -1,4 +1,4 @@
-"""Groups of a service's targets, so that one choice looks at a few of many."""
+"""Groups of a service's targets, which bound the cost of one choice."""
 
 import random
 
@@ -6,28 +6,30 @@
 
 from bronzepoint_common.rendezvous import rendezvous_order
 
-from ._tracked import Tracked
+from ._tracked_target import TrackedTarget
 
-MOST_TOGETHER = 64
-"""Targets of a service up to which each choice looks at all of them."""
-MOST_IN_GROUP = 32
-"""Targets of a group, about, where there are more."""
-MOST_GROUPS = 3
-"""Groups that one choice looks at before it says that there is no room."""
+MAX_UNGROUPED = 64
+"""Number of targets of a service up to which each choice considers all of them."""
+MAX_GROUP_SIZE = 32
+"""Approximate maximum number of targets in a group."""
+MAX_GROUPS = 3
+"""Number of groups that a choice considers before it reports that there is no free
+capacity."""
 
-Group = list[Tracked]
+Group = list[TrackedTarget]
 
 
-def group_targets(targets: list[Tracked]) -> list[Group]:
-    """Return the targets in groups; which one a target is in, its name says.
+def group_targets(targets: list[TrackedTarget]) -> list[Group]:
+    """Return the targets in groups, assigned by a hash of their names.
 
-    The number of groups is a power of two: it seldom changes, and then halves or
-    doubles the groups, so that what prompts share stays near those that ask for it.
+    The number of groups is a power of two. It changes rarely, and then splits or merges
+    groups, so that most shared parts of prompts stay cached in the groups that their
+    requests are placed in.
     """
-    if len(targets) <= MOST_TOGETHER:
+    if len(targets) <= MAX_UNGROUPED:
         return [targets]
     count = 1
-    while len(targets) > MOST_IN_GROUP * count:
+    while len(targets) > MAX_GROUP_SIZE * count:
         count *= 2
     groups: list[Group] = [[] for _ in range(count)]
     for target in targets:
@@ -37,17 +39,17 @@
 
 
 def order_groups(groups: list[Group], key: str, rng: random.Random) -> list[Group]:
-    """Return the groups that one request is placed in, the first choice first.
+    """Return the groups for one request, in order of preference.
 
     Args:
-        groups: All of a service.
-        key: What the request shares with others; empty: nothing.
-        rng: Draws where nothing else says which.
+        groups: All groups of a service.
+        key: Name of the part that the request shares; empty if none.
+        rng: Random number generator for requests without a shared part.
     """
     if len(groups) == 1:
         return groups
     if not key:
-        return rng.sample(groups, min(MOST_GROUPS, len(groups)))
-    # A part in fashion that fills its own group spreads over the same few others.
+        return rng.sample(groups, min(MAX_GROUPS, len(groups)))
+    # A popular part that fills its first group overflows to the same few others.
     order = rendezvous_order(key, map(str, range(len(groups))))
-    return [groups[int(name)] for name in order[:MOST_GROUPS]]
+    return [groups[int(name)] for name in order[:MAX_GROUPS]]
--- a/packages/node/src/bronzepoint_node/placement/_waiting_line.py
+++ b/packages/node/src/bronzepoint_node/placement/_waiting_line.py
@@ -1,4 +1,4 @@
-"""The order in which requests that found no room look for it again."""
+"""Queue of requests that wait for free capacity."""
 
 import bisect
 from dataclasses import dataclass, field
@@ -7,76 +7,79 @@
 
 from bronzepoint_common.clock import monotonic
 
-LOOK_INTERVAL = 0.03
-"""Seconds between two looks for room of a request at the head of the line."""
-HEADS = 3
-"""Requests of a line that look for room at the same time. One alone would hold up the
-others where it is the only one that finds none, as a large or a home-bound one."""
+POLL_INTERVAL = 0.03
+"""Seconds between two checks for free capacity by a request at the head of the
+queue."""
+HEAD_COUNT = 3
+"""Number of requests that check for capacity at the same time. A single one would block
+the others while only it finds none, such as a large request or one bound to its home
+region."""
 
 
 @dataclass(order=True)
-class Waiter:
-    """A request that waits; urgent ones go first, then those that came first.
+class QueuedRequest:
+    """A waiting request, ordered by rank and then by arrival.
 
     Attributes:
-        rank: How urgent it is; 0 goes first.
-        arrived: When it was read, by the monotonic clock.
-        until: When it is done waiting.
+        rank: Priority; 0 is the most urgent.
+        arrived: When it was received, by the monotonic clock.
+        until: When it stops waiting.
+        wakeup: Set when it should check for capacity.
     """
 
     rank: int
     arrived: float
     until: float = field(compare=False)
-    moved_up: curio.Event = field(default_factory=curio.Event, compare=False)
+    wakeup: curio.Event = field(default_factory=curio.Event, compare=False)
 
 
-class WaitingLine:
-    """Requests that wait for room at one service.
+class RequestQueue:
+    """Requests that wait for free capacity of one service.
 
-    When every waiting request looked for room by itself, a host with a dozen of them
-    did nothing else, and its streams stood still. So only the first few look, and
-    whoever leaves lets the next one up.
+    If every waiting request checked by itself, a host with a dozen of them would do
+    nothing else, and its streams would stall. Only the first few check, and a request
+    that leaves wakes the next one.
 
     Attributes:
-        looked_at: When room was looked for last.
+        polled_at: Time of the last check for free capacity.
     """
 
     def __init__(self) -> None:
-        self.looked_at = float("-inf")
-        self._waiters: list[Waiter] = []
+        self.polled_at = float("-inf")
+        self._queued: list[QueuedRequest] = []
 
     def __len__(self) -> int:
-        return len(self._waiters)
+        return len(self._queued)
 
-    def join(self, waiter: Waiter) -> None:
-        """Take a place behind those as urgent that came earlier."""
-        bisect.insort(self._waiters, waiter)
+    def join(self, queued: QueuedRequest) -> None:
+        """Add a request behind earlier ones of the same rank."""
+        bisect.insort(self._queued, queued)
 
-    async def leave(self, waiter: Waiter) -> None:
-        """Give up the place; those behind move up."""
-        self._waiters = [other for other in self._waiters if other is not waiter]
+    async def leave(self, queued: QueuedRequest) -> None:
+        """Remove a request, and wake those that are now at the head."""
+        self._queued = [other for other in self._queued if other is not queued]
         for other in self.heads():
-            await other.moved_up.set()
+            await other.wakeup.set()
 
-    async def wait(self, waiter: Waiter) -> bool:
-        """Return once it is time to look for room; False: the waiting is over."""
-        left = waiter.until - monotonic()
-        if left <= 0:
+    async def wait(self, queued: QueuedRequest) -> bool:
+        """Wait for the next check for capacity; return False if the time is over."""
+        time_left = queued.until - monotonic()
+        if time_left <= 0:
             return False
-        if self._is_head(waiter):
-            left = min(LOOK_INTERVAL, left)
-        waiter.moved_up.clear()
-        async with curio.ignore_after(left):
-            await waiter.moved_up.wait()
+        if self._is_head(queued):
+            time_left = min(POLL_INTERVAL, time_left)
+        queued.wakeup.clear()
+        async with curio.ignore_after(time_left):
+            await queued.wakeup.wait()
         return True
 
-    def in_order(self) -> list[Waiter]:
-        """Return all that wait."""
-        return list(self._waiters)
+    def in_order(self) -> list[QueuedRequest]:
+        """Return all waiting requests in order."""
+        return list(self._queued)
 
-    def heads(self) -> list[Waiter]:
-        """Return those that may look for room, in order."""
-        return self._waiters[:HEADS]
+    def heads(self) -> list[QueuedRequest]:
+        """Return the requests that may check for capacity, in order."""
+        return self._queued[:HEAD_COUNT]
 
-    def _is_head(self, waiter: Waiter) -> bool:
-        return any(other is waiter for other in self.heads())
+    def _is_head(self, queued: QueuedRequest) -> bool:
+        return any(other is queued for other in self.heads())
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -38,8 +38,9 @@
 )
 
 SLOTS = 32
-STEP = 0.001
-"""Seconds that a message takes."""
+"""Requests that each target serves at the same time."""
+DELIVERY_INTERVAL = 0.001
+"""Seconds between two deliveries of posted messages."""
 
 
 def prompt(tokens=100, name="own"):
@@ -47,15 +48,15 @@
 
 
 class Region:
-    """Some hosts before some engines.
+    """Some hosts and some engines.
 
     Attributes:
-        cut: Hosts that hear nothing and aren't heard.
+        partitioned: Hosts that send and receive no messages.
         sent_bytes: Bytes that each host has posted.
     """
 
     def __init__(self, hosts, targets, memory_tokens=10**9, core=()):
-        self.cut = set()
+        self.partitioned = set()
         self.sent_bytes = Counter()
         self.names = [f"10.1.0.{number}" for number in range(hosts)]
         self.engine = ServedService(
@@ -86,7 +87,7 @@
 
     def post(self, sender, receiver, area, message):
         self.sent_bytes[sender] += len(msgspec.msgpack.encode(message))
-        if not {sender, receiver} & self.cut:
+        if not {sender, receiver} & self.partitioned:
             self._posted.append((sender, receiver, area, message))
 
     async def _deliver(self):
@@ -95,7 +96,7 @@
             for sender, receiver, area, message in posted:
                 host = self.hosts.get(receiver) or self.core[receiver]
                 await host.handlers[area](sender, message)
-            await curio.sleep(STEP)
+            await curio.sleep(DELIVERY_INTERVAL)
 
     def infos(self):
         return [
@@ -107,18 +108,18 @@
 
     @property
     def scheduler(self):
-        """The host that chooses for all."""
+        """The host that selects targets for all."""
         (found,) = [h for h in self.hosts.values() if h.exchange.scheduler is None]
         return found
 
     @property
     def members(self):
-        """The hosts that ask it."""
+        """The hosts that query the scheduler."""
         scheduler = self.scheduler
         return [host for host in self.hosts.values() if host is not scheduler]
 
     def in_flight(self):
-        """Return what is truly in progress at each target."""
+        """Return the actual number of requests in progress at each target."""
         counts = Counter()
         for host in self.hosts.values():
             for target in host.table.all():
@@ -127,7 +128,7 @@
 
 
 class CoreScheduler:
-    """The scheduler on a host of the core; it is the peers that its parts post to."""
+    """The scheduler on a core host, which is also the peers object of its parts."""
 
     def __init__(self, region, name):
         self.region = region
@@ -166,7 +167,7 @@
 
 
 class Host:
-    """One entry host; it is the peers that its parts post to."""
+    """One entry host, which is also the peers object of its parts."""
 
     def __init__(self, region, name):
         self.region = region
@@ -213,15 +214,15 @@
     def post(self, peer, area, message):
         self.region.post(self.name, peer, area, message)
 
-    def ask(self, rank=0, tokens=100, arrived=None, avoided=()):
+    def make_request(self, rank=0, tokens=100, arrived=None, avoided=()):
         now = monotonic()
         at = now if arrived is None else arrived
         return HomeAsk("id", "s", prompt(tokens), 5.0, rank, at, set(avoided))
 
     async def send(self, run_id, wait=0.0, **options):
         """Find a target and count a request there, as a sender does."""
-        ask = self.ask(**options)
-        found = await self.client.find(ask, wait)
+        request = self.make_request(**options)
+        found = await self.client.find(request, wait)
         if isinstance(found, AtHome):
-            found.target.begin(run_id, ask.prompt, ask.rank, monotonic())
+            found.target.begin(run_id, request.prompt, request.rank, monotonic())
         return found
--- a/tests/test_core_hosts_for.py
+++ b/tests/test_core_hosts_for.py
@@ -15,7 +15,7 @@
     hosts_for,
     ready_hosts,
 )
-from bronzepoint_node.placement._collector_choice import CollectorChoice
+from bronzepoint_node.placement._collector_choice import CollectorSelector
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState
 
 
@@ -62,7 +62,7 @@
         chosen = set()
         for asking in live:
             others = {h.name for h in hosts_for(asking, live)} - {asking.name}
-            chosen.add(CollectorChoice(asking.name).choose(sorted(others), 0.0))
+            chosen.add(CollectorSelector(asking.name).choose(sorted(others), 0.0))
         self.assertEqual(len(chosen), 1)
 
     def test_number_of_hosts_is_told_besides(self):
--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -1,4 +1,4 @@
-"""Telling the load of targets through one host of the region."""
+"""Aggregation of target loads through one host of the region."""
 
 import unittest
 import unittest.mock
@@ -11,32 +11,32 @@
     EngineReport,
     LoadExchange,
     Reservations,
-    Speeds,
+    ServiceEstimates,
     TargetTable,
     is_silent,
 )
-from bronzepoint_node.placement._collector_choice import MOST_DIRECT, CollectorChoice
+from bronzepoint_node.placement._collector_choice import MAX_DIRECT, CollectorSelector
 from bronzepoint_node.placement._engine_load import OwnRun
-from bronzepoint_node.placement._load_collector import TELL_INTERVAL
+from bronzepoint_node.placement._load_collector import NOTICE_INTERVAL
 from bronzepoint_node.placement._load_exchange import REPORT_INTERVAL
-from bronzepoint_node.placement._picture_age import MOST_AGE
+from bronzepoint_node.placement._picture_age import MAX_AGE
 from bronzepoint_schema.generated.fleet import TargetInfo
 
-TOLD = round(TELL_INTERVAL / 0.1) + 2
-"""Steps within which members are told of one another: they choose by that only where
-the collector, which knows at once, doesn't answer."""
-AGE_AIM = 0.05
-"""Seconds that what a choice in a region goes by may be old."""
+NOTICE_STEPS = round(NOTICE_INTERVAL / 0.1) + 2
+"""Steps within which members get each other's loads. Members select targets by them
+only if the collector, which has current loads, does not answer."""
+MAX_CHOICE_AGE_S = 0.05
+"""Maximum age in seconds of the data behind a choice in a region."""
 TARGETS = ("t1", "t2")
 ENGINE = ServedService("s", "/h", 100, 3.0, 2.0, EngineFacts(64, 200_000))
 
 
-class Wire:
-    """Delivers notices between exchanges at once, but for hosts that are cut off."""
+class Network:
+    """Delivers notices between exchanges at once, except to partitioned hosts."""
 
     def __init__(self, names):
         self.now = 100.0
-        self.cut = set()
+        self.partitioned = set()
         self.sent = Counter()
         self.known = {name: set(names) - {name} for name in names}
         self.hosts = {name: Member(self, name) for name in names}
@@ -44,7 +44,7 @@
     def step(self, seconds=0.1):
         self.now += seconds
         for host in self.hosts.values():
-            host.exchange._tell(sorted(self.known[host.name]), self.now)
+            host.exchange._report(sorted(self.known[host.name]), self.now)
 
     def steps(self, count):
         for _ in range(count):
@@ -52,25 +52,25 @@
 
 
 class Member:
-    """One entry host; it is the peers that its exchange posts to."""
+    """One entry host, which is also the peers object that its exchange posts to."""
 
-    def __init__(self, wire, name):
-        self.wire = wire
+    def __init__(self, network, name):
+        self.network = network
         self.name = name
         self.table = TargetTable()
         infos = [TargetInfo(t, "s", f"{t}:1", "z", 8, False, 0) for t in TARGETS]
-        self.table.update(infos, 0.0, {"s": ENGINE}, frozenset(), wire.now)
+        self.table.update(infos, 0.0, {"s": ENGINE}, frozenset(), network.now)
         self.exchange = LoadExchange(
-            name, self, self.table, Speeds(), Reservations(), lambda: []
+            name, self, self.table, ServiceEstimates(), Reservations(), lambda: []
         )
 
     def register(self, area, union, handler):
         self.handler = handler
 
     def post(self, peer, area, message):
-        self.wire.sent[self.name] += 1
-        if not {self.name, peer} & self.wire.cut:
-            self.wire.hosts[peer].take(self.name, message)
+        self.network.sent[self.name] += 1
+        if not {self.name, peer} & self.network.partitioned:
+            self.network.hosts[peer].take(self.name, message)
 
     def take(self, peer, message):
         try:
@@ -81,10 +81,10 @@
     def begin(self, target, rank=0, tokens=100):
         tracked = self.table.get(target)
         number = len(tracked.load.runs)
-        tracked.load.begin(f"{number}", OwnRun(tokens, tokens, rank, self.wire.now))
+        tracked.load.begin(f"{number}", OwnRun(tokens, tokens, rank, self.network.now))
 
     def in_flight(self, target):
-        return self.table.get(target).load.in_flight(self.wire.now)
+        return self.table.get(target).load.in_flight(self.network.now)
 
     @property
     def collector(self):
@@ -97,40 +97,40 @@
 
 class TestCollector(unittest.TestCase):
     def setUp(self):
-        # Words expire by the monotonic clock that handlers read.
+        # Reports expire by the monotonic clock that the handlers read.
         patch = unittest.mock.patch(
             "bronzepoint_node.placement._load_exchange.monotonic",
-            lambda: self.wire.now,
+            lambda: self.network.now,
         )
         patch.start()
         self.addCleanup(patch.stop)
 
     def region(self, count):
-        self.wire = Wire(names(count))
-        self.hosts = list(self.wire.hosts.values())
-        self.wire.steps(12)
+        self.network = Network(names(count))
+        self.hosts = list(self.network.hosts.values())
+        self.network.steps(12)
 
     def choosers(self):
-        """Return the hosts that choose targets for requests."""
+        """Return the hosts that select targets for requests."""
         return [h for h in self.hosts if h.exchange.scheduler is None]
 
-    @params((2,), (MOST_DIRECT + 1,), (MOST_DIRECT + 2,), (23,))
+    @params((2,), (MAX_DIRECT + 1,), (MAX_DIRECT + 2,), (23,))
     def test_every_host_knows_what_all_have_in_progress(self, count):
         self.region(count)
         for host in self.hosts:
             host.begin("t1")
         self.hosts[0].begin("t2", tokens=40_000)
-        self.wire.step()
+        self.network.step()
         for host in self.choosers():
             self.assertEqual(host.in_flight("t1"), count)
-        self.wire.steps(TOLD)
+        self.network.steps(NOTICE_STEPS)
         self.assertEqual([h.in_flight("t1") for h in self.hosts], [count] * count)
         self.assertEqual([h.in_flight("t2") for h in self.hosts], [1] * count)
         for host in self.hosts[1:]:
-            before = host.table.get("t2").load.tokens_before(0, 1e-9, self.wire.now)
+            before = host.table.get("t2").load.tokens_before(0, 1e-9, self.network.now)
             self.assertAlmostEqual(before, 40_000, delta=1)
 
-    @params((MOST_DIRECT + 1, None), (MOST_DIRECT + 2, 1), (23, 1))
+    @params((MAX_DIRECT + 1, None), (MAX_DIRECT + 2, 1), (23, 1))
     def test_number_of_collectors(self, count, collectors):
         self.region(count)
         found = {host.collector for host in self.hosts}
@@ -138,187 +138,204 @@
         self.assertEqual(len(found), 1)
 
     def test_messages_grow_with_the_hosts_and_not_with_their_square(self):
-        """Symptom: at 70 hosts a fifth of each one's processor went into notices.
-        Sequence: each request changes a load, and each host tells each other.
-        Cause: the messages of a region grow with the square of its hosts."""
+        """Guards against notices that use a fifth of each host's processor at 70 hosts.
+
+        Each request changes a load. If every host reports to every other host, the
+        number of messages grows with the square of the hosts.
+        """
         most = {}
         for count in (12, 24):
             self.region(count)
-            self.wire.sent.clear()
+            self.network.sent.clear()
             for _ in range(10):
                 for host in self.hosts:
                     host.begin("t1")
-                self.wire.step()
-            most[count] = sorted(self.wire.sent.values())
-        self.assertEqual(most[24][-2], most[12][-2], "a member sends no more")
+                self.network.step()
+            most[count] = sorted(self.network.sent.values())
+        self.assertEqual(most[24][-2], most[12][-2], "members send no more messages")
         self.assertLessEqual(most[24][-1], 2.2 * most[12][-1])
 
     def test_dead_collector_is_left(self):
-        """Symptom: all hosts of a region send to the same target.
-        Sequence: the collector dies, but is known as a live host for a while.
-        Cause: its members hear nothing of each other any more."""
+        """Guards against hosts of a region that all send to the same target.
+
+        This happens when the collector dies but still counts as live for a while, and
+        its members no longer get each other's loads.
+        """
         self.region(9)
         former = self.hosts[0].collector
-        self.wire.cut.add(former)
-        self.wire.steps(26)
+        self.network.partitioned.add(former)
+        self.network.steps(26)
         left = [host for host in self.hosts if host.name != former]
         self.assertEqual(len({host.collector for host in left}), 1)
         self.assertNotEqual(left[0].collector, former)
         for host in left:
             host.begin("t1")
-        self.wire.step()
+        self.network.step()
         (chooser,) = [host for host in left if host.exchange.scheduler is None]
         self.assertEqual(chooser.in_flight("t1"), 8)
-        self.wire.steps(TOLD)
+        self.network.steps(NOTICE_STEPS)
         self.assertEqual([h.in_flight("t1") for h in left], [8] * 8)
 
-    def test_collector_that_is_heard_again_collects_again(self):
-        """Symptom: hosts of one region know the load of a half of it each, for good.
-        Sequence: a cut parts some hosts from the collector, and heals.
-        Cause: they go on with their second choice, which the others don't tell."""
+    def test_reachable_collector_resumes(self):
+        """Guards against hosts that each permanently know half of a region's load.
+
+        This happens when a network partition separates some hosts from the collector,
+        and they keep their second choice after it has ended.
+        """
         self.region(9)
         former = self.hosts[0].collector
-        self.wire.cut.add(former)
-        self.wire.steps(26)
-        self.wire.cut.clear()
-        self.wire.steps(25)
+        self.network.partitioned.add(former)
+        self.network.steps(26)
+        self.network.partitioned.clear()
+        self.network.steps(25)
         self.assertEqual({host.collector for host in self.hosts}, {former})
         for host in self.hosts:
             host.begin("t2")
-        self.wire.step()
+        self.network.step()
         (chooser,) = self.choosers()
         self.assertEqual(chooser.in_flight("t2"), 9)
-        self.wire.steps(TOLD)
+        self.network.steps(NOTICE_STEPS)
         self.assertEqual([h.in_flight("t2") for h in self.hosts], [9] * 9)
 
-    def test_change_of_collector_counts_nothing_twice(self):
-        """Symptom: targets look twice as busy for 3 s, and requests are turned away.
-        Sequence: a host joins that becomes the collector.
-        Cause: the former collector's sum is kept beside the new one's."""
+    def test_collector_change_counts_no_load_twice(self):
+        """Guards against refused requests because targets look twice as busy for 3 s.
+
+        This happens when a new host becomes the collector, and the sum of the former
+        one is kept beside the new one.
+        """
         everyone = names(12)
-        joining = CollectorChoice(everyone[0]).order(everyone[1:])[0]
+        joining = CollectorSelector(everyone[0]).order(everyone[1:])[0]
         self.region(12)
         for host in self.hosts:
-            self.wire.known[host.name].discard(joining)
-        self.wire.steps(40)
+            self.network.known[host.name].discard(joining)
+        self.network.steps(40)
         present = [host for host in self.hosts if host.name != joining]
         for host in present:
             host.begin("t1")
-        self.wire.steps(TOLD)
+        self.network.steps(NOTICE_STEPS)
         for host in present:
-            self.wire.known[host.name].add(joining)
-        for _ in range(2 * TOLD):
-            self.wire.step()
+            self.network.known[host.name].add(joining)
+        for _ in range(2 * NOTICE_STEPS):
+            self.network.step()
             self.assertLessEqual(max(h.in_flight("t1") for h in present), 11)
         self.assertEqual({h.in_flight("t1") for h in present}, {11})
 
     def test_collector_that_was_started_anew_is_told_all(self):
-        """Symptom: targets are overrun for a second after the scheduler has restarted.
-        Sequence: it knows nothing of what its members have in progress, and they tell
-        what changes.
-        Cause: all was told again only once a second."""
+        """Guards against targets that are overloaded for a second after a restart.
+
+        A restarted collector knows no requests of its members. They report only
+        changes, and their full load once a second.
+        """
         self.region(9)
         for host in self.hosts:
             host.begin("t1")
-        self.wire.steps(12)
+        self.network.steps(12)
         (former,) = self.choosers()
-        anew = self.wire.hosts[former.name] = Member(self.wire, former.name)
-        anew.exchange._choice = former.exchange._choice
+        restarted = self.network.hosts[former.name] = Member(self.network, former.name)
+        restarted.exchange._selector = former.exchange._selector
         for host in self.hosts:
             if host is not former:
                 host.begin("t2")
-        self.wire.steps(3)
-        self.assertEqual(anew.in_flight("t1"), 8)
-        self.assertEqual(anew.in_flight("t2"), 8)
-
-    @params((MOST_DIRECT + 2,), (23,), (64,))
-    def test_age_of_what_a_choice_goes_by_is_bounded(self, count):
-        """Symptom: targets are overrun in large regions only, and nothing says why.
-        Sequence: what a host knows of the others grows older with their number.
-        Cause: the age was neither bounded nor told."""
+        self.network.steps(3)
+        self.assertEqual(restarted.in_flight("t1"), 8)
+        self.assertEqual(restarted.in_flight("t2"), 8)
+
+    @params((MAX_DIRECT + 2,), (23,), (64,))
+    def test_age_of_data_behind_a_choice_is_bounded(self, count):
+        """Guards against targets that are overloaded in large regions only.
+
+        This happens when data about the other hosts gets older with their number, and
+        its age is neither bounded nor reported.
+        """
         self.region(count)
         ages = []
         for _ in range(100):
             for host in self.hosts:
                 host.begin("t1")
-            self.wire.step(REPORT_INTERVAL)
+            self.network.step(REPORT_INTERVAL)
             (chooser,) = self.choosers()
-            ages.append(chooser.exchange.known_age(self.wire.now))
-        self.assertLessEqual(max(ages), AGE_AIM)
+            ages.append(chooser.exchange.known_age(self.network.now))
+        self.assertLessEqual(max(ages), MAX_CHOICE_AGE_S)
         self.assertGreater(min(ages), 0.0)
         members = [h for h in self.hosts if h is not chooser]
-        own = [h.exchange.known_age(self.wire.now) for h in members]
-        self.assertLessEqual(max(own), TELL_INTERVAL + REPORT_INTERVAL)
+        own = [h.exchange.known_age(self.network.now) for h in members]
+        self.assertLessEqual(max(own), NOTICE_INTERVAL + REPORT_INTERVAL)
 
-    def test_silent_member_makes_the_picture_old_until_its_words_expire(self):
+    def test_unresponsive_member_makes_data_stale_until_its_reports_expire(self):
         self.region(9)
         (chooser,) = self.choosers()
-        self.wire.cut.add(next(h.name for h in self.hosts if h is not chooser))
+        self.network.partitioned.add(
+            next(h.name for h in self.hosts if h is not chooser)
+        )
         ages = []
         for _ in range(45):
-            self.wire.step()
-            ages.append(chooser.exchange.known_age(self.wire.now))
+            self.network.step()
+            ages.append(chooser.exchange.known_age(self.network.now))
         self.assertGreater(max(ages), 2.0)
-        self.assertLess(max(ages), MOST_AGE)
+        self.assertLess(max(ages), MAX_AGE)
         self.assertLess(ages[-1], 0.2)
 
-    def test_member_that_is_told_nothing_says_so(self):
+    def test_member_without_notices_reports_its_staleness(self):
         self.region(9)
         (chooser,) = self.choosers()
-        self.wire.cut.add(chooser.name)
+        self.network.partitioned.add(chooser.name)
         member = next(h for h in self.hosts if h is not chooser)
         for _ in range(15):
-            self.wire.step()
-        self.assertGreater(member.exchange.known_age(self.wire.now), TELL_INTERVAL)
-        self.wire.steps(10)
-        self.assertLessEqual(member.exchange.known_age(self.wire.now), MOST_AGE)
-
-    def test_one_host_asks_the_engines_for_all(self):
-        """Symptom: engines answer 10 questions a second each, and are paid for it.
-        Sequence: each of 23 hosts asks each engine, the less often the more they are.
-        Cause: a report was known only to the host that had asked."""
+            self.network.step()
+        self.assertGreater(member.exchange.known_age(self.network.now), NOTICE_INTERVAL)
+        self.network.steps(10)
+        self.assertLessEqual(member.exchange.known_age(self.network.now), MAX_AGE)
+
+    def test_one_host_polls_the_engines_for_all(self):
+        """Guards against engines that answer 10 polls a second, which are paid for.
+
+        This happens when each of 23 hosts polls each engine, because a report is known
+        only to the host that polled.
+        """
         self.region(9)
-        asking = [h for h in self.hosts if h.exchange.askers(9)]
-        self.assertEqual(len(asking), 1)
-        self.assertEqual(asking[0].exchange.askers(9), 1)
+        pollers = [h for h in self.hosts if h.exchange.askers(9)]
+        self.assertEqual(len(pollers), 1)
+        self.assertEqual(pollers[0].exchange.askers(9), 1)
         for host in self.hosts:
             host.begin("t1")
-        self.wire.step()
-        tracked = asking[0].table.get("t1")
+        self.network.step()
+        tracked = pollers[0].table.get("t1")
         report = EngineReport(running=20, waiting=3, used_tokens=500, total_tokens=900)
-        tracked.take_report(report, self.wire.now, 9)
-        self.wire.steps(TOLD)
+        tracked.apply_report(report, self.network.now, 9)
+        self.network.steps(NOTICE_STEPS)
         for host in self.hosts:
             known = host.table.get("t1")
             self.assertEqual(known.report, report)
             self.assertEqual(known.runs_at_report, 9)
-            told_at = known.report_at
-            self.assertAlmostEqual(told_at, tracked.report_at, delta=0.01)
+            reported_at = known.report_at
+            self.assertAlmostEqual(reported_at, tracked.report_at, delta=0.01)
 
     @params((0.5, False), (5.0, True))
-    def test_engine_that_is_silent_for_the_collector(self, heard_ago, silent):
-        """Symptom: a sound engine gets nothing from a whole region.
-        Sequence: it is out of reach for the collector alone, which tells all members.
-        Cause: its word counted more than the answers that members got."""
+    def test_engine_that_is_silent_for_the_collector(self, contact_age, unresponsive):
+        """Guards against a working engine that gets no requests from a whole region.
+
+        This happens when only the collector cannot reach it, and its report takes
+        precedence over the answers that members get.
+        """
         self.region(9)
-        asking = next(h for h in self.hosts if h.exchange.askers(9))
-        member = next(h for h in self.hosts if h is not asking)
+        poller = next(h for h in self.hosts if h.exchange.askers(9))
+        member = next(h for h in self.hosts if h is not poller)
         known = member.table.get("t1")
-        known.note_heard(self.wire.now - heard_ago)
+        known.record_contact(self.network.now - contact_age)
         for _ in range(2):
-            asking.table.get("t1").note_silent(self.wire.now)
-        self.wire.steps(4)
-        self.assertTrue(is_silent(asking.table.get("t1"), self.wire.now))
-        self.assertEqual(is_silent(known, self.wire.now), silent)
-        known.note_heard(self.wire.now)
-        self.assertFalse(is_silent(known, self.wire.now))
+            poller.table.get("t1").record_failure(self.network.now)
+        self.network.steps(4)
+        self.assertTrue(is_silent(poller.table.get("t1"), self.network.now))
+        self.assertEqual(is_silent(known, self.network.now), unresponsive)
+        known.record_contact(self.network.now)
+        self.assertFalse(is_silent(known, self.network.now))
 
 
 class TestChoice(unittest.TestCase):
-    def test_host_that_comes_back_is_heard_out_anew(self):
+    def test_returned_host_gets_a_new_time_limit(self):
         first, *others = names(9)
-        *others, name = CollectorChoice(first).order(others)
-        choice = CollectorChoice(name)
+        *others, name = CollectorSelector(first).order(others)
+        choice = CollectorSelector(name)
         first = choice.choose(others, 0.0)
         self.assertNotEqual(choice.choose(others, 3.0), first)
         choice.choose([name for name in others if name != first], 4.0)
--- a/tests/test_placement_many_targets.py
+++ b/tests/test_placement_many_targets.py
@@ -1,4 +1,4 @@
-"""A region with a thousand targets: what is looked at and told stays bounded."""
+"""Bounds on the cost of choices and reports in a region with 1000 targets."""
 
 import random
 import unittest
@@ -12,13 +12,13 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.placement import AtHome, NoHome, Prompt, PromptPart
 from bronzepoint_node.placement._engine_load import OwnRun
-from bronzepoint_node.placement._home_choice import HomeChoice
-from bronzepoint_node.placement._load_collector import MOST_TOLD, TELL_INTERVAL
+from bronzepoint_node.placement._load_collector import MAX_REPORTED, NOTICE_INTERVAL
 from bronzepoint_node.placement._load_exchange import REPORT_INTERVAL
+from bronzepoint_node.placement._local_target_selector import LocalTargetSelector
 from bronzepoint_node.placement._target_groups import (
-    MOST_GROUPS,
-    MOST_IN_GROUP,
-    MOST_TOGETHER,
+    MAX_GROUP_SIZE,
+    MAX_GROUPS,
+    MAX_UNGROUPED,
     group_targets,
     order_groups,
 )
@@ -39,24 +39,24 @@
 
 
 def fill(tracked):
-    """Let requests of this host take up all slots of a target."""
+    """Occupy all slots of a target with requests of this host."""
     for number in range(SLOTS):
         run = OwnRun(0, 0, 0, monotonic(), started=True)
         tracked.load.begin(f"{tracked.info.incarnation}-{number}", run)
 
 
 class TestGroups(unittest.TestCase):
-    @params((1, 1), (MOST_TOGETHER, 1), (MOST_TOGETHER + 1, 4), (TARGETS, 32))
+    @params((1, 1), (MAX_UNGROUPED, 1), (MAX_UNGROUPED + 1, 4), (TARGETS, 32))
     def test_sizes(self, count, expected):
-        everyone = targets(count)
-        groups = group_targets(everyone)
+        all_targets = targets(count)
+        groups = group_targets(all_targets)
         self.assertEqual(len(groups), expected)
         found = sorted(t.info.incarnation for group in groups for t in group)
-        self.assertEqual(found, sorted(t.info.incarnation for t in everyone))
-        self.assertLessEqual(max(map(len, groups)), MOST_TOGETHER)
+        self.assertEqual(found, sorted(t.info.incarnation for t in all_targets))
+        self.assertLessEqual(max(map(len, groups)), MAX_UNGROUPED)
 
     def test_target_that_joins_moves_no_other(self):
-        """Guards against caches that are lost to all with each start of a target."""
+        """Guards against a new target that makes the caches of the others useless."""
         before, after = (group_targets(targets(count)) for count in (1000, 1001))
         pairs = zip(before, after, strict=True)
         moved = sum(len(new) - len(old) for old, new in pairs)
@@ -71,7 +71,7 @@
         ]
         self.assertEqual(orders[0], orders[1])
         self.assertEqual(orders[2], orders[3])
-        self.assertEqual([len(order) for order in orders], [MOST_GROUPS] * 4)
+        self.assertEqual([len(order) for order in orders], [MAX_GROUPS] * 4)
 
     def test_requests_that_share_nothing_are_spread(self):
         groups = group_targets(targets(TARGETS))
@@ -81,64 +81,68 @@
 
 
 class TestChoice(unittest.TestCase):
-    def _choose(self, prepare, ask_of):
-        """Return what is found, and how many targets were looked at."""
-        looks = Counter()
-        view = HomeChoice.view
+    def _choose(self, prepare, request_for):
+        """Return the result and the number of targets that were considered."""
+        views = Counter()
+        view = LocalTargetSelector.view
 
-        def counted(home, *arguments):
-            looks["targets"] += 1
-            return view(home, *arguments)
+        def counted(selector, *arguments):
+            views["targets"] += 1
+            return view(selector, *arguments)
 
         async def main():
             async with Region(1, TARGETS) as region:
                 (host,) = region.hosts.values()
                 prepare(host.table)
-                return host.placer.home.choose(ask_of(host), monotonic())
+                return host.placer.home.choose(request_for(host), monotonic())
 
-        with unittest.mock.patch.object(HomeChoice, "view", counted):
-            return curio.run(main), looks["targets"]
+        with unittest.mock.patch.object(LocalTargetSelector, "view", counted):
+            return curio.run(main), views["targets"]
 
     def test_one_choice_looks_at_one_group(self):
-        """Guards against a scheduler whose choice grows with the targets until it has
-        no processor time left."""
-        found, looks = self._choose(lambda table: None, lambda host: host.ask())
+        """Guards against choices whose cost grows with the number of targets.
+
+        The scheduler would have no processor time left.
+        """
+        found, views = self._choose(
+            lambda table: None, lambda host: host.make_request()
+        )
         self.assertIsInstance(found, AtHome)
-        self.assertLess(looks, 2 * MOST_IN_GROUP)
+        self.assertLess(views, 2 * MAX_GROUP_SIZE)
 
     def test_full_group_is_left_for_another(self):
-        """Guards against a request that is turned away though most targets idle."""
+        """Guards against a refused request while most targets are idle."""
 
         def fill_first_group(table):
             (first, *_) = order_groups(table.groups("s"), "guide", random.Random())
             for tracked in first:
                 fill(tracked)
 
-        def ask_of(host):
-            asked = host.ask()
-            asked.prompt = shared("guide")
-            return asked
+        def request_for(host):
+            request = host.make_request()
+            request.prompt = shared("guide")
+            return request
 
-        found, looks = self._choose(fill_first_group, ask_of)
+        found, views = self._choose(fill_first_group, request_for)
         self.assertIsInstance(found, AtHome)
-        self.assertLess(looks, 2 * MOST_GROUPS * MOST_IN_GROUP)
+        self.assertLess(views, 2 * MAX_GROUPS * MAX_GROUP_SIZE)
 
     def test_choice_among_full_targets_is_bounded_too(self):
         def fill_all(table):
             for tracked in table.all():
                 fill(tracked)
 
-        found, looks = self._choose(fill_all, lambda host: host.ask())
+        found, views = self._choose(fill_all, lambda host: host.make_request())
         self.assertEqual(found, NoHome(late=False))
-        self.assertLess(looks, 2 * MOST_GROUPS * MOST_IN_GROUP)
+        self.assertLess(views, 2 * MAX_GROUPS * MAX_GROUP_SIZE)
 
 
-class Talk:
-    """Counts what hosts of a region tell each other."""
+class NoticeCounter:
+    """Counts the loads that the hosts of a region report to each other."""
 
     def __init__(self, region):
         self.to_collect = Counter()
-        self.told = Counter()
+        self.received = Counter()
         self.names = set()
         self._post = region.post
         region.post = self.post
@@ -148,46 +152,51 @@
             case LoadNotice(kind=NoticeKind.to_collect):
                 self.to_collect[sender] += len(message.loads)
             case LoadNotice(kind=NoticeKind.of_others) if message.span_ms:
-                self.told[receiver] += len(message.loads)
+                self.received[receiver] += len(message.loads)
                 self.names.update(load.incarnation for load in message.loads)
         self._post(sender, receiver, area, message)
 
 
-class TestTalk(unittest.TestCase):
+class TestNoticeVolume(unittest.TestCase):
     def test_notices_grow_with_what_is_in_use(self):
-        """Guards against links and processors that are taken up by words of idle
-        targets: each host told each of a thousand, each second, both ways."""
+        """Guards against reports of idle targets that use up links and processors.
+
+        This happens when each host reports each of a thousand targets every second, in
+        both directions.
+        """
 
         async def main():
             async with Region(HOSTS, TARGETS) as region:
-                await curio.sleep(TELL_INTERVAL)
-                talk = Talk(region)
+                await curio.sleep(NOTICE_INTERVAL)
+                counter = NoticeCounter(region)
                 for member in region.members:
                     await member.send("1")
-                await curio.sleep(2 * TELL_INTERVAL + 2 * REPORT_INTERVAL)
-                return talk
+                await curio.sleep(2 * NOTICE_INTERVAL + 2 * REPORT_INTERVAL)
+                return counter
 
-        talk = curio.run(main)
-        # A change, and the same again each second.
-        self.assertLessEqual(max(talk.to_collect.values()), 5)
-        self.assertLessEqual(max(talk.told.values()), 4 * MOST_TOLD)
-        self.assertGreater(len(talk.names), MOST_TOLD, "they are told by turns")
+        counter = curio.run(main)
+        # One report of the change, and one full report per second.
+        self.assertLessEqual(max(counter.to_collect.values()), 5)
+        self.assertLessEqual(max(counter.received.values()), 4 * MAX_REPORTED)
+        self.assertGreater(
+            len(counter.names), MAX_REPORTED, "targets are reported round robin"
+        )
 
-    def test_idle_members_go_on_to_be_told(self):
-        """Guards against members that count as gone since they have nothing to say."""
+    def test_idle_members_still_get_notices(self):
+        """Guards against members that count as dead because they are idle."""
 
         async def main():
             async with Region(HOSTS, 6) as region:
-                await curio.sleep(4 * TELL_INTERVAL)
+                await curio.sleep(4 * NOTICE_INTERVAL)
                 now = monotonic()
                 scheduler = region.scheduler.exchange
-                return len(scheduler._collected.members(now)), [
+                return len(scheduler._load_collector.members(now)), [
                     host.exchange.known_age(now) for host in region.members
                 ]
 
         members, ages = curio.run(main)
         self.assertEqual(members, HOSTS - 1)
-        self.assertLess(max(ages), 2 * TELL_INTERVAL)
+        self.assertLess(max(ages), 2 * NOTICE_INTERVAL)
 
 
 if __name__ == "__main__":
--- a/tests/test_placement_pace.py
+++ b/tests/test_placement_pace.py
@@ -1,4 +1,4 @@
-"""No stream is begun that can't end: how fast engines write, and what that decides."""
+"""Writing speed of engines: streams that would miss their deadline are not started."""
 
 import unittest
 
@@ -13,13 +13,13 @@
     Rejected,
     RejectReason,
 )
-from bronzepoint_node.placement._pace import LEAST_EVENTS, MEMORY, Pace
+from bronzepoint_node.placement._pace import MIN_EVENTS, TIME_CONSTANT, Pace
 from tests.test_placement_placer import Site, info
 
 FACTS = EngineFacts(64, 4_000_000, event_tokens=7)
 SERVICE = ServedService("s", "/h", 100, 3.0, 2.0, FACTS)
-LEFT = 5.0
-"""Seconds that the requests of `Site.ask` have left."""
+TIME_LEFT = 5.0
+"""Seconds until the deadline of the requests of `Site.make_request`."""
 
 
 def prompt(own, output, name="own"):
@@ -27,19 +27,19 @@
 
 
 def write(tracked, seconds_per_event, now):
-    """Let an engine write so that its pace is known."""
-    for _ in range(int(2 * LEAST_EVENTS)):
+    """Record events of an engine, so that its pace is known."""
+    for _ in range(int(2 * MIN_EVENTS)):
         tracked.pace.note(1, seconds_per_event, now)
 
 
 class TestPace(unittest.TestCase):
     @params(
         ((), 0.0, 0.0),
-        (((LEAST_EVENTS - 1, 1.0),), 0.0, 0.0),
+        (((MIN_EVENTS - 1, 1.0),), 0.0, 0.0),
         (((40, 4.0),), 0.0, 0.1),
         (((40, 4.0), (40, 12.0)), 0.0, 0.2),
-        # long ago: nothing is known any more
-        (((40, 4.0),), 3 * MEMORY, 0.0),
+        # the events are so old that the pace is unknown
+        (((40, 4.0),), 3 * TIME_CONSTANT, 0.0),
     )
     def test_mean_time_of_an_event(self, notes, later, expected):
         pace = Pace()
@@ -50,18 +50,19 @@
 
 class TestWhatIsBegun(unittest.TestCase):
     @params(
-        # seconds an event, tokens of the answer, what is expected
+        # seconds per event, tokens of the answer, expected result
         (0.05, 350, AtHome),
         (0.1, 350, AtHome),
         (0.5, 350, Rejected),
         (0.5, 35, AtHome),
     )
     def test_stream_that_would_outlast_its_deadline(self, pace, output, expected):
-        """Symptom: 200 requests of a bad day end at their deadline with a stream that
-        runs, and slow down all others until then.
-        Sequence: a crowd of long prompts keeps engines reading; streams that are begun
-        meanwhile write at a quarter of the usual pace.
-        Cause: only slots and memory were looked at."""
+        """Guards against streams that end unfinished at their deadline, 200 in a day.
+
+        Many long prompts keep engines reading, and streams started meanwhile are
+        written at a quarter of the usual speed. Until their deadline they slow down all
+        others. It happens when only slots and memory are considered.
+        """
         site = Site(info("t1"), service=SERVICE)
         write(site.table.get("t1"), pace, site.now)
         placed = site.place(prompt=prompt(100, output))
@@ -70,9 +71,9 @@
             self.assertEqual(placed.reason, RejectReason.NO_TIME)
 
     @params(({"b": 0}, Elsewhere), ({}, Rejected))
-    def test_another_region_may_be_in_time(self, away, expected):
+    def test_another_region_may_be_in_time(self, remote_loads, expected):
         site = Site(info("t1"), service=SERVICE)
-        site.away(**away)
+        site.remote_loads(**remote_loads)
         write(site.table.get("t1"), 0.5, site.now)
         self.assertIsInstance(site.place(prompt=prompt(100, 350)), expected)
 
@@ -86,23 +87,24 @@
         self.assertEqual(chosen, {"t2"})
 
     def test_crowd_of_long_prompts_is_begun_as_far_as_it_ends(self):
-        """Symptom: after a kill of everything, 119 callers come back in a quarter of a
-        second; nearly all of their streams end at the deadline, unfinished.
-        Sequence: all are sent to the engines at once, which then read for longer than
-        any of them has left.
-        Cause: what lies unread before a request was no reason not to begin it."""
+        """Guards against streams that nearly all end unfinished at their deadline.
+
+        This happens when 119 callers retry within a quarter of a second after all hosts
+        were killed. The engines then read for longer than any request has left, unless
+        the unread prompts ahead of a request are considered.
+        """
         site = Site(info("t1"), service=SERVICE)
         tracked = site.table.get("t1")
         tracked.engine = EngineFacts(500, 4_000_000, event_tokens=7)
         outcomes = []
         for number in range(119):
-            asked = prompt(12_000, 70, f"own-{number}")
-            placed = site.place(prompt=asked)
+            request_prompt = prompt(12_000, 70, f"own-{number}")
+            placed = site.place(prompt=request_prompt)
             outcomes.append(type(placed))
             if isinstance(placed, AtHome):
-                tracked.begin(f"r{number}", asked, 2, site.now)
-        begun = outcomes.count(AtHome)
+                tracked.begin(f"r{number}", request_prompt, 2, site.now)
+        started = outcomes.count(AtHome)
         rate = site.placer.speeds.rate("s").tokens_per_second
-        self.assertGreater(begun, 5)
-        self.assertLess(begun * 12_000 / rate, 2 * LEFT)
+        self.assertGreater(started, 5)
+        self.assertLess(started * 12_000 / rate, 2 * TIME_LEFT)
         self.assertEqual(outcomes[-1], Rejected)
--- a/tests/test_placement_parts.py
+++ b/tests/test_placement_parts.py
@@ -1,4 +1,4 @@
-"""The smaller decisions of placement, one table each."""
+"""Tables for the smaller decisions of placement."""
 
 import unittest
 from collections import Counter
@@ -6,13 +6,14 @@
 from nose2.tools import params
 
 from bronzepoint_node.placement import ColdGate, Prompt, PromptPart, RetryAllowance
+from bronzepoint_node.placement._cache_estimate import CacheEstimate
 from bronzepoint_node.placement._engine_load import EngineLoad, OwnRun
-from bronzepoint_node.placement._part_memory import PartMemory
-from bronzepoint_node.placement._reading_rate import FIRST_RATE, ReadingRate
+from bronzepoint_node.placement._reading_rate import INITIAL_RATE, ReadingRate
 from bronzepoint_node.placement._region_owner import weighted_owner
 from bronzepoint_schema.generated.target_loads import TargetLoad
 
 RATE = 1000.0
+"""Tokens that an engine reads per second."""
 
 
 def prompt(*parts):
@@ -23,7 +24,7 @@
 class TestRetryAllowance(unittest.TestCase):
     @params((0, 1, 35), (0, 5, 7), (100, 5, 22), (100, 1, 50))
     def test_repeats_in_one_window(self, requests, hosts, expected):
-        """0.75 of a fifth of the own requests, and a part of 0.7 of the slack."""
+        """0.75 of a fifth of the own requests, and a share of 0.7 of the slack."""
         allowance = RetryAllowance(0.2, 50)
         allowance.note_hosts(hosts)
         for _ in range(requests):
@@ -31,20 +32,24 @@
         taken = sum(allowance.take("s", 1.0) for _ in range(200))
         self.assertEqual(taken, expected)
 
-    def test_host_that_is_cut_off_gets_no_larger_part(self):
-        """Symptom: more repeats than the platform grants, after a cut.
-        Sequence: a host hears of no other any more; it takes the whole slack, and so
-        do the hosts on the other side.
-        Cause: the slack was divided by the hosts that are heard of now."""
+    def test_partitioned_host_gets_no_larger_share(self):
+        """Guards against more retries than the platform grants in a network partition.
+
+        This happens when the slack is divided by the number of hosts that are visible
+        now: a host without contact to others uses all of it, and so do the hosts on the
+        other side.
+        """
         allowance = RetryAllowance(0.0, 50)
         allowance.note_hosts(10)
         allowance.note_hosts(1)
         self.assertEqual(sum(allowance.take("s", 0.0) for _ in range(50)), 3)
 
-    def test_host_that_was_told_of_none_takes_no_slack(self):
-        """Symptom: more repeats than the platform grants, after a kill of everything.
-        Sequence: 190 hosts start together, and targets turn their first requests away.
-        Cause: a host that didn't know of the others took the slack of all."""
+    def test_host_without_a_host_count_takes_no_slack(self):
+        """Guards against more retries than the platform grants after a full restart.
+
+        190 hosts start together, and targets refuse their first requests. A host that
+        does not know of the others yet would use the slack of all.
+        """
         allowance = RetryAllowance(0.2, 400)
         for _ in range(20):
             allowance.note_request("s", 0.0)
@@ -76,11 +81,11 @@
         self.assertLessEqual(sum(sent.values()), 15)
 
     @params(([],), (["other"],))
-    def test_host_that_can_not_know_sends_none(self, hosts):
+    def test_host_outside_the_list_sends_none(self, hosts):
         self.assertFalse(ColdGate("h").may_send("t", 2.0, hosts, 0.0))
 
 
-class TestPartMemory(unittest.TestCase):
+class TestCacheEstimate(unittest.TestCase):
     @params(
         ([("a", 10), ("b", 20), ("x", 5)], 30),
         ([("b", 20), ("a", 10)], 30),
@@ -88,12 +93,12 @@
         ([("new", 5), ("a", 10)], 0),
     )
     def test_a_part_counts_where_all_before_it_are_cached(self, parts, cached):
-        memory = PartMemory(1000)
+        memory = CacheEstimate(1000)
         memory.note_used(prompt(("a", 10), ("b", 20), ("own", 5)))
         self.assertEqual(memory.cached_tokens(prompt(*parts)), cached)
 
-    def test_parts_used_longest_ago_go_first(self):
-        memory = PartMemory(100)
+    def test_least_recently_used_parts_are_evicted_first(self):
+        memory = CacheEstimate(100)
         for name in "abc":
             memory.note_part(name, 40)
         cached = [memory.cached_tokens(prompt((name, 40))) for name in "abc"]
@@ -102,10 +107,10 @@
 
 class TestEngineLoad(unittest.TestCase):
     @params(
-        # the prompt in progress is waited for, whatever its rank
+        # a new request waits for the prompt in progress, whatever its rank
         ([(1, 1000, 0.0)], 0, 0.0, 1000),
         ([(1, 1000, 0.0)], 0, 0.4, 600),
-        # those behind it only where they are as urgent
+        # it waits for queued prompts only if they are as urgent
         ([(1, 1000, 0.0), (1, 500, 0.1)], 0, 0.4, 600),
         ([(1, 1000, 0.0), (1, 500, 0.1)], 1, 0.4, 1100),
         ([(0, 1000, 0.0), (0, 500, 0.1)], 0, 0.4, 1100),
@@ -118,16 +123,18 @@
         self.assertAlmostEqual(load.tokens_before(rank, RATE, now), expected)
 
     def test_long_prompt_of_another_host_is_known_at_once(self):
-        """Symptom: short requests wait a second at an engine with few in progress.
-        Sequence: one host sends a prompt of 40,000 tokens; another, whose report of
-        the engine is 0.4 s old, sends its requests after it.
-        Cause: only the engine's late report told of it."""
+        """Guards against short requests that wait a second behind a long prompt.
+
+        One host sends a prompt of 40,000 tokens to an engine with few requests. Another
+        sends its requests after it, because its report of the engine is 0.4 s old and
+        does not include the prompt.
+        """
         load = EngineLoad()
         notice = TargetLoad("t", 1, 40_000, [0, 40_000, 0, 0], 40_000, 1, 0)
-        load.take_notice("other", notice, 5.0)
+        load.apply_notice("other", notice, 5.0)
         self.assertEqual(load.tokens_before(0, RATE, 5.0), 40_000)
         self.assertEqual(load.in_flight(5.0), 1)
-        self.assertEqual(load.in_flight(8.1), 0, "a dead host's word expires")
+        self.assertEqual(load.in_flight(8.1), 0, "the report of a dead host expires")
 
     def test_started_request_is_read(self):
         load = EngineLoad()
@@ -140,14 +147,14 @@
 class TestReadingRate(unittest.TestCase):
     @params(
         (2000, 0.1, 0, True),
-        (2000, 0.1, 5000, False),  # it waited
-        (100, 0.1, 0, False),  # too short to tell
-        (2000, 10.0, 0, False),  # not believable: it was believed cached
+        (2000, 0.1, 5000, False),  # queued
+        (100, 0.1, 0, False),  # too short
+        (2000, 10.0, 0, False),  # implausible: wrongly assumed cached
     )
     def test_what_counts(self, uncached, seconds, before, counts):
         rate = ReadingRate()
         rate.add(uncached, seconds, before)
-        self.assertEqual(rate.tokens_per_second != FIRST_RATE, counts)
+        self.assertEqual(rate.tokens_per_second != INITIAL_RATE, counts)
 
 
 class TestWeightedOwner(unittest.TestCase):
@@ -157,7 +164,7 @@
         for region, weight in weights.items():
             self.assertAlmostEqual(owners[region] / 3000, weight / 384, delta=0.04)
 
-    def test_a_region_that_goes_loses_only_its_own_parts(self):
+    def test_removed_region_loses_only_its_own_parts(self):
         before = {"a": 64.0, "b": 64.0, "c": 64.0}
         after = {**before, "c": 0.0}
         for key in map(str, range(300)):
@@ -165,7 +172,7 @@
             if owner != "c":
                 self.assertEqual(weighted_owner(key, after), owner)
 
-    def test_nobody_keeps_what_no_region_can(self):
+    def test_no_owner_without_slots(self):
         self.assertIsNone(weighted_owner("k", {"a": 0.0}))
 
 
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -1,4 +1,4 @@
-"""Home or away and at which target, from what one entry host knows."""
+"""Choice of region and target from the state of one entry host."""
 
 import math
 import random
@@ -79,94 +79,99 @@
         services = {"s": self.service}
         self.table.update(list(targets), age, services, frozenset(closed), self.now)
 
-    def away(self, **in_progress):
+    def remote_loads(self, **in_progress):
         for region, count in in_progress.items():
             self.registry.hear_loads([RegionLoad(region, "s", 64, count, 0, 0)])
 
-    def ask(self, of_route=None, prompt=None, forwarded=False, tried=()):
+    def make_request(self, of_route=None, prompt=None, forwarded=False, tried=()):
         return PlacementAsk(
             "id", of_route or route(), prompt, forwarded, 5.0, set(tried), set(), 0
         )
 
     def place(self, *args, **options):
-        return self.placer.place(self.ask(*args, **options), self.now)
+        return self.placer.place(self.make_request(*args, **options), self.now)
 
 
-class TestHomeOrAway(unittest.TestCase):
+class TestLocalOrRemote(unittest.TestCase):
     @params(
         ([info("t1")], (), {"b": 0}, False, AtHome),
-        # what may get no work
+        # targets that may get no requests
         ([info("t1", leaving=True)], (), {"b": 0}, False, Elsewhere),
         ([info("t1")], ("a-1",), {"b": 0}, False, Elsewhere),
         ([], (), {"b": 0}, False, Elsewhere),
         # another region is full, or none is known
         ([], (), {"b": 96}, False, Rejected),
         ([], (), {}, False, Rejected),
-        # a forwarded request is never sent on
+        # a forwarded request is never forwarded again
         ([], (), {"b": 0}, True, Rejected),
     )
-    def test_where(self, targets, closed, away, forwarded, expected):
+    def test_kind_of_placement(
+        self, targets, closed, remote_loads, forwarded, expected
+    ):
         site = Site(*targets, closed=closed)
-        site.away(**away)
+        site.remote_loads(**remote_loads)
         self.assertIsInstance(site.place(forwarded=forwarded), expected)
 
     @params((("b",), "b"), (("c",), "c"), (("a", "c"), "c"))
     def test_home_bound_requests_go_only_where_they_may(self, homes, expected):
         site = Site()
-        site.away(b=0, c=0)
+        site.remote_loads(b=0, c=0)
         for _ in range(20):
             placement = site.place(route(homes))
             self.assertEqual(placement.region, expected)
 
-    # Where all lag, one of them is better than a refusal.
+    # If all hosts lag, forwarding to one of them is better than a refusal.
     @params((False, {"b1"}), (True, {"b1", "b2"}))
     def test_forwards_go_to_hosts_that_keep_up(self, all_lag, expected):
-        """Guards against requests that are sent to a host without a processor."""
+        """Guards against forwarding to a host that has no processor time."""
         site = Site()
-        site.away(b=0)
+        site.remote_loads(b=0)
         for name, lags in (("b1", all_lag), ("b2", True)):
             host = EntryHost(name, "b", "z", name, name, EntryState.ready, 0, lags)
             site.registry.hear_entries([host])
         self.assertEqual({site.place().host for _ in range(40)}, expected)
 
-    def test_home_bound_elsewhere_leaves_though_home_has_room(self):
+    def test_route_bound_to_another_region_is_forwarded(self):
         site = Site(info("t1"))
-        site.away(b=0)
+        site.remote_loads(b=0)
         self.assertEqual(site.place(route(("b",))).region, "b")
 
-    def test_a_refusal_says_what_was_known(self):
+    def test_refusal_reports_known_capacity(self):
         site = Site(info("t1"), closed=("a-1",))
-        site.away(b=200)
+        site.remote_loads(b=200)
         self.assertGreater(site.place().retry_after, 0)
-        known = site.placer.known_room(site.ask(), site.now)
-        for word in ("b 200/64", "closed ['a-1']"):
-            self.assertIn(word, known)
+        known = site.placer.known_room(site.make_request(), site.now)
+        for text in ("b 200/64", "closed ['a-1']"):
+            self.assertIn(text, known)
 
 
 class TestLongPrompts(unittest.TestCase):
     @params((0, math.inf, Elsewhere), (37_000, 6e5, AtHome), (37_000, 1e8, Elsewhere))
     def test_body_that_takes_long_on_a_narrow_link_stays(self, size, link, expected):
-        """Symptom: nearly all answers that are late were sent to another region.
-        Sequence: the own region would answer within its objective; a prompt of 37 KB
-        leaves over a link of 5 Mbit/s, and comes in over another one.
-        Cause: the time of the body wasn't counted, only the trip."""
+        """Guards against late answers to long prompts that were forwarded.
+
+        A prompt of 37 KB is sent over a link of 5 Mbit/s and received over another one.
+        If only the round trip is counted, it is forwarded although its own region would
+        answer within the objective.
+        """
         site = Site(info("t1"))
-        site.away(b=0)
+        site.remote_loads(b=0)
         site.placer.regions._link_bytes = link
-        home = AtHome(site.table.get("t1"), "", 0.38)
-        asked = site.ask()
-        asked.body_bytes = size
-        self.assertIsInstance(site.placer.decide(asked, home, site.now), expected)
+        local = AtHome(site.table.get("t1"), "", 0.38)
+        request = site.make_request()
+        request.body_bytes = size
+        self.assertIsInstance(site.placer.decide(request, local, site.now), expected)
 
 
-class TestWhatWasSentAway(unittest.TestCase):
+class TestForwardedRequests(unittest.TestCase):
     @params((True, Elsewhere), (False, Rejected))
-    def test_answered_requests_leave_room(self, answered, expected):
-        """Symptom: with a region's targets closed, its calls of the plain service are
-        refused while both other regions stand idle.
-        Sequence: the other region's last word is 0.6 s old and says that nothing is in
-        progress; ten calls were sent there since, and are answered.
-        Cause: all that was sent since that word counted as in progress."""
+    def test_answered_requests_free_capacity(self, answered, expected):
+        """Guards against refused requests while the other regions are idle.
+
+        The targets of the region are closed. The load report of the other region is 0.6
+        s old and shows no requests. Ten requests of a plain service were forwarded
+        there since and have been answered, but would count as in progress.
+        """
         site = Site(info("t1"), service=PLAIN, closed=("a-1",))
         site.registry.hear_loads([RegionLoad("b", "s", 6, 0, 0, 600)])
         regions = site.placer.regions
@@ -179,54 +184,57 @@
 
 class TestTargets(unittest.TestCase):
     def test_replaced_target_gets_nothing_until_the_list_is_read_again(self):
-        """Symptom: for a second every request is turned away with 421.
-        Sequence: a target is started anew at its address; the list still names the
-        former start; each request is sent there, and uses up a repeat.
-        Cause: what the first rejection said was not kept."""
+        """Guards against a second in which every request is refused with 421.
+
+        A target restarts at its address, and the list still names the former
+        incarnation. Each request is sent there and uses up a retry, unless the first
+        rejection is remembered.
+        """
         site = Site(info("t1"), info("t2"))
         site.table.get("t1").replaced = True
         chosen = {site.place().target.info.incarnation for _ in range(20)}
         self.assertEqual(chosen, {"t2"})
 
-    def test_silent_engine_is_left_while_another_answers(self):
+    def test_unresponsive_engine_is_avoided_while_another_answers(self):
         site = Site(info("t1"), info("t2"))
-        silent = site.table.get("t1")
-        silent.note_silent(site.now - 1.0)
-        silent.note_silent(site.now - 0.5)
-        silent.trial_at = site.now
+        unresponsive = site.table.get("t1")
+        unresponsive.record_failure(site.now - 1.0)
+        unresponsive.record_failure(site.now - 0.5)
+        unresponsive.trial_at = site.now
         chosen = {site.place().target.info.incarnation for _ in range(20)}
         self.assertEqual(chosen, {"t2"})
 
     @params(False, True)
-    def test_lone_silent_target_is_tried_once_a_second(self, away):
-        """Symptom: requests for a plain service fail for seconds though another region
-        serves it.
-        Sequence: the only target of the region is lost; each request waits for a
-        connection to it, and uses up the sends that it has.
-        Cause: a silent target was used where the region has no other."""
+    def test_only_target_is_tried_once_a_second_if_unresponsive(self, remote_loads):
+        """Guards against requests that fail although another region serves them.
+
+        The only target of a plain service in the region is lost. For seconds each
+        request waits for a connection to it and uses up its tries, if an unresponsive
+        target is used whenever the region has no other.
+        """
         site = Site(info("t1"), service=PLAIN)
-        if away:
-            site.away(b=0)
-        silent = site.table.get("t1")
-        silent.note_silent(site.now - 1.0)
-        silent.note_silent(site.now - 0.5)
+        if remote_loads:
+            site.remote_loads(b=0)
+        unresponsive = site.table.get("t1")
+        unresponsive.record_failure(site.now - 1.0)
+        unresponsive.record_failure(site.now - 0.5)
         first = site.place()
         self.assertIsInstance(first, AtHome)
-        silent.trial_at = site.now
-        expected = Elsewhere if away else Rejected
+        unresponsive.trial_at = site.now
+        expected = Elsewhere if remote_loads else Rejected
         self.assertIsInstance(site.place(), expected)
         site.now += 1.1
         self.assertIsInstance(site.place(), AtHome)
 
-    def test_any_answer_ends_the_silence(self):
+    def test_any_answer_makes_a_target_responsive(self):
         site = Site(info("t1"), service=PLAIN)
         target = site.table.get("t1")
-        target.note_silent(site.now - 1.0)
-        target.note_silent(site.now - 0.5)
+        target.record_failure(site.now - 1.0)
+        target.record_failure(site.now - 0.5)
         site.table.note_result(target, TryResult.answered, 0.1, site.now)
         self.assertFalse(is_silent(target, site.now))
 
-    def test_engine_that_reads_a_long_prompt_is_left(self):
+    def test_engine_that_reads_a_long_prompt_is_avoided(self):
         site = Site(info("t1"), info("t2"))
         long = Prompt((PromptPart("own", 39_000),), 39_000, 50)
         site.table.get("t1").begin("long", long, 1, site.now)
@@ -254,16 +262,17 @@
         self.assertGreaterEqual(sent, min(most, 1))
 
     def test_reopened_data_center_counts_as_cold_until_a_later_list(self):
-        """Symptom: cold targets crash right after an evacuation is taken back.
-        Sequence: the data center is opened again; its targets were cold; the list
-        that says so comes a second later.
-        Cause: they were sent their whole load at once."""
+        """Guards against cold targets that crash right after an evacuation is reverted.
+
+        The data center is reopened, and the list that marks its targets as cold arrives
+        a second later. Until then they would get their full load.
+        """
         site = Site(info("t1"), closed=("a-1",))
         site.update([info("t1")], age=0.5)
         tracked = site.table.get("t1")
         self.assertGreater(tracked.cold_until, site.now + 3.0)
         site.now += 0.5
-        site.update([info("t1")], age=0.7)  # read before the opening
+        site.update([info("t1")], age=0.7)  # read before the reopening
         self.assertGreater(tracked.cold_until, site.now)
         site.now += 1.0
         site.update([info("t1")], age=0.2)
@@ -271,7 +280,7 @@
 
 
 class TestSharedParts(unittest.TestCase):
-    def prompt_kept_by(self, region):
+    def prompt_owned_by(self, region):
         weights = {"a": 64.0, "b": 64.0, "c": 64.0}
         for number in range(100):
             name = f"part{number}"
@@ -281,26 +290,24 @@
         raise AssertionError("no part of that region")
 
     @params(("a", None), ("b", "b"), ("c", "c"))
-    def test_a_part_that_is_missing_at_home_is_read_where_it_is_kept(
-        self, keeper, expected
-    ):
+    def test_part_missing_here_is_read_where_it_is_cached(self, owner, expected):
         site = Site(info("t1"))
-        site.away(b=0, c=0)
-        placement = site.place(prompt=self.prompt_kept_by(keeper))
+        site.remote_loads(b=0, c=0)
+        placement = site.place(prompt=self.prompt_owned_by(owner))
         self.assertEqual(getattr(placement, "region", None), expected)
 
-    def test_a_part_that_is_cached_at_home_stays(self):
+    def test_part_cached_here_is_served_here(self):
         site = Site(info("t1"))
-        site.away(b=0, c=0)
-        prompt = self.prompt_kept_by("b")
+        site.remote_loads(b=0, c=0)
+        prompt = self.prompt_owned_by("b")
         site.table.get("t1").memory.note_used(prompt)
         self.assertIsInstance(site.place(prompt=prompt), AtHome)
 
-    def test_a_busy_keeper_is_not_waited_for(self):
+    def test_busy_cache_holder_is_not_waited_for(self):
         site = Site(info("t1"))
         site.registry.hear_loads([RegionLoad("b", "s", 64, 10, 900, 0)])
-        site.away(c=0)
-        placement = site.place(prompt=self.prompt_kept_by("b"))
+        site.remote_loads(c=0)
+        placement = site.place(prompt=self.prompt_owned_by("b"))
         self.assertIsInstance(placement, AtHome)
 
 
@@ -315,23 +322,24 @@
         (ReportOfOtherStart("it was born at 6"), 0, True),
         (EngineReport(1, 0, 5, 10), 0, False),
     )
-    def test_what_a_report_teaches(self, word, failed, replaced):
-        """Symptom: an engine that answers gets nothing, or one that has started anew
-        gets prompts whose parts it no longer keeps.
-        Sequence: its report can't be read, or speaks of another start.
-        Cause: every report that couldn't be taken counted as silence."""
+    def test_effect_of_a_report(self, report, failed, replaced):
+        """Guards against treating every unusable report as a missing one.
+
+        An engine whose report cannot be parsed would get no requests. An engine that
+        has restarted would get prompts whose parts it no longer caches.
+        """
         site = Site(info("t1"))
 
-        asked = []
+        polled = []
 
         async def read(address, incarnation):
-            asked.append(incarnation)
-            if len(asked) > 1:
+            polled.append(incarnation)
+            if len(polled) > 1:
                 await again.set()
                 await curio.sleep(60.0)
-            if isinstance(word, Exception):
-                raise word
-            return word
+            if isinstance(report, Exception):
+                raise report
+            return report
 
         async def main():
             prober = Prober(site.table, read, lambda: 1)
@@ -346,21 +354,22 @@
         self.assertEqual((tracked.failed_reports, tracked.replaced), (failed, replaced))
 
     def test_new_start_under_the_same_id_begins_with_nothing(self):
-        """Symptom: after a restart under its id a target looks busy and warm.
-        Sequence: it has requests in progress and cached parts; it crashes, starts
-        again and is listed under its id with another time of start.
-        Cause: all that was known was kept by its id."""
+        """Guards against a target that looks busy and warm after a restart.
+
+        A target with requests in progress and cached parts crashes, and is listed under
+        the same id with another start time. Its state must not be kept by id alone.
+        """
         site = Site(info("t1~5"))
         prompt = Prompt((PromptPart("p", 500), PromptPart("o", 5)), 505, 5)
         tracked = site.table.get("t1~5")
         tracked.begin("r1", prompt, 0, site.now)
-        tracked.note_silent(site.now)
+        tracked.record_failure(site.now)
         site.update([info("t1~9")])
-        anew = site.table.get("t1~9")
+        restarted = site.table.get("t1~9")
         self.assertIsNone(site.table.get("t1~5"))
-        self.assertEqual(anew.load.in_flight(site.now), 0)
-        self.assertEqual(anew.memory.cached_tokens(prompt), 0)
-        self.assertEqual(anew.failed_reports, 0)
+        self.assertEqual(restarted.load.in_flight(site.now), 0)
+        self.assertEqual(restarted.memory.cached_tokens(prompt), 0)
+        self.assertEqual(restarted.failed_reports, 0)
 
 
 class TestWhatOtherRegionsAreTold(unittest.TestCase):
@@ -368,19 +377,20 @@
         ({}, 2),
         ({"cold_ms": 3000}, 1),
     )
-    def test_cold_targets_are_no_room_for_others(self, changes, targets):
-        """Symptom: hundreds of requests a second are forwarded to a region that
-        refuses each of them, and come back late to hosts whose line they then join.
-        Sequence: the region's engines come back cold; a cold one may be sent one
-        request just now; it counts with its 64 slots.
-        Cause: what may be sent to now was told as room."""
+    def test_cold_targets_are_not_reported_as_capacity(self, changes, targets):
+        """Guards against hundreds of requests a second that are forwarded and refused.
+
+        The engines of a region restart cold, and a cold one may get a single request
+        now. If it is reported with its 64 slots, other regions forward requests that
+        are refused and join the queue of their own host late.
+        """
         site = Site(info("t1"), info("t2", **changes))
         (load,) = site.placer.region_loads(site.now)
         self.assertEqual(load.slots, 64 * targets)
 
-    def test_silent_and_ejected_targets_are_no_room_for_others(self):
+    def test_unresponsive_and_ejected_targets_are_not_reported(self):
         site = Site(info("t1"), info("t2"), info("t3"), info("t4"))
-        site.table.get("t1").told_silent = True
+        site.table.get("t1").reported_unresponsive = True
         site.table.get("t2").health.eject(site.now)
         (load,) = site.placer.region_loads(site.now)
         self.assertEqual(load.slots, 2 * 64)
