--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -1,4 +1,4 @@
-"""One host of a region chooses targets for the requests of all."""
+"""Selection of targets by one host for the requests of all hosts of a region."""
 
 import unittest
 
@@ -8,28 +8,32 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.peers import Area
 from bronzepoint_node.placement import AtHome, NoHome, Prompt, PromptPart
-from bronzepoint_node.placement._engine_load import RESERVED_FOR, EngineLoad, OwnRun
-from bronzepoint_node.placement._load_collector import TELL_INTERVAL
+from bronzepoint_node.placement._engine_load import (
+    RESERVATION_EXPIRY,
+    EngineLoad,
+    OwnRun,
+)
+from bronzepoint_node.placement._load_collector import NOTICE_INTERVAL
 from bronzepoint_node.placement._load_exchange import REPORT_INTERVAL
 from bronzepoint_node.placement._scheduler_client import (
     ANSWER_TIMEOUT,
-    MOST_UNANSWERED,
+    MAX_UNANSWERED,
 )
-from bronzepoint_node.placement._tracked import SILENT_AFTER
-from bronzepoint_node.placement._waiting_line import LOOK_INTERVAL
+from bronzepoint_node.placement._tracked_target import UNRESPONSIVE_AFTER
+from bronzepoint_node.placement._waiting_line import POLL_INTERVAL
 from bronzepoint_schema.generated.scheduling import TargetGrant
 from bronzepoint_schema.generated.target_loads import TargetLoad
 from tests._scheduling_region import SLOTS, Region
 
 HOSTS = 64
 LINK = 625_000
-"""Bytes a second on the link of an entry host: 5 Mbit/s."""
-TALK_SHARE = 0.1
-"""Part of its link that a host's own talk may take."""
+"""Bandwidth of an entry host's link in bytes per second: 5 Mbit/s."""
+TRAFFIC_SHARE = 0.1
+"""Fraction of its link that a host's own traffic may use."""
 
 
 async def burst(region, count, choose):
-    """Let the hosts send in turn, faster than they hear of one another."""
+    """Let the hosts send round robin, faster than they receive each other's loads."""
     hosts = list(region.hosts.values())
     async with curio.TaskGroup() as group:
         for number in range(count):
@@ -39,20 +43,22 @@
                 await curio.sleep(0.001)
 
 
-async def choose_alone(host, run_id):
-    """Send as a host does that goes by what it was last told."""
-    ask = host.ask()
-    found = host.placer.home.choose(ask, monotonic())
+async def choose_locally(host, run_id):
+    """Send a request as a host that relies on the last reports it received."""
+    request = host.make_request()
+    found = host.placer.home.choose(request, monotonic())
     if isinstance(found, AtHome):
-        found.target.begin(run_id, ask.prompt, 0, monotonic())
+        found.target.begin(run_id, request.prompt, 0, monotonic())
 
 
 class TestHerd(unittest.TestCase):
     def test_no_target_is_overrun(self):
-        """Symptom: a third of what engines get they turn away, while others stand idle.
-        Sequence: 64 hosts before 6 engines, five of them nearly full; 120 requests come
-        within 20 ms.
-        Cause: every host chose the engine that was idle when it was last told."""
+        """Guards against engines that refuse a third of their requests.
+
+        64 hosts use 6 engines, five of which are nearly full, and 120 requests arrive
+        within 20 ms. If each host chooses by its last reports, all choose the same
+        engine while others are idle.
+        """
 
         async def main(choose):
             async with Region(HOSTS, 6) as region:
@@ -61,21 +67,24 @@
                     for number in range(SLOTS - 12):
                         run = OwnRun(100, 0, 0, monotonic(), started=True)
                         tracked.load.begin(f"{number}", run)
-                await curio.sleep(TELL_INTERVAL + 0.1)
+                await curio.sleep(NOTICE_INTERVAL + 0.1)
                 before = sum(region.in_flight().values())
                 await burst(region, 5 * 12 + SLOTS, choose)
                 counts = region.in_flight()
                 return max(counts.values()), sum(counts.values()) - before
 
-        most, served = curio.run(main, lambda host, run_id: host.send(run_id))
-        self.assertLessEqual(most, SLOTS)
+        max_in_flight, served = curio.run(main, lambda host, run_id: host.send(run_id))
+        self.assertLessEqual(max_in_flight, SLOTS)
         self.assertEqual(served, 5 * 12 + SLOTS)
-        alone, _ = curio.run(main, choose_alone)
-        self.assertGreater(alone, SLOTS, "the load doesn't bring the fault about")
+        local_max, _ = curio.run(main, choose_locally)
+        self.assertGreater(local_max, SLOTS, "the load does not cause the failure")
+
+    def test_choice_includes_grants_and_ended_requests(self):
+        """Checks that a grant counts at once, and only once.
 
-    def test_choice_knows_of_what_was_granted_and_of_what_has_ended(self):
-        """What is granted counts at once, and once: not again as its host's own part.
-        What has ended leaves room within two notices."""
+        The report of its host does not add it again. An ended request frees capacity
+        within two notices.
+        """
 
         async def main():
             async with Region(HOSTS, 1) as region:
@@ -96,18 +105,20 @@
         self.assertEqual(curio.run(main), [5, 5, 2])
 
     def test_part_that_one_host_has_sent_is_known_to_all(self):
-        """Symptom: a shared part of prompts is read by several engines of a region.
-        Sequence: two hosts get a prompt with it within a few milliseconds.
-        Cause: which engine reads it was told 0.4 s later."""
+        """Guards against a shared part that several engines of a region read.
+
+        Two hosts get a prompt with the part within a few milliseconds, while the report
+        of the engine that reads it would arrive 0.4 s later.
+        """
 
         async def main():
             async with Region(HOSTS, 6) as region:
                 targets = set()
                 for host in list(region.hosts.values())[:20]:
-                    ask = host.ask()
-                    parts = (PromptPart("guide", 5000), *ask.prompt.parts)
-                    ask.prompt = Prompt(parts, 5100, 50)
-                    found = await host.client.find(ask, 0.0)
+                    request = host.make_request()
+                    parts = (PromptPart("guide", 5000), *request.prompt.parts)
+                    request.prompt = Prompt(parts, 5100, 50)
+                    found = await host.client.find(request, 0.0)
                     targets.add(found.target.info.incarnation)
                 return targets
 
@@ -115,15 +126,15 @@
 
 
 class TestSeenByOneHost(unittest.TestCase):
-    # A target that can't be reached is tried now and then.
+    # An unreachable target is tried periodically.
     @params(("note_replaced", 0), ("note_unreached", 1))
-    def test_what_one_host_runs_into_the_others_are_spared(self, seen, trials):
-        """Symptom: after a crash a third of all tries is turned away, and requests are
-        refused though there is room.
-        Sequence: an engine crashes and starts again at its address under another name;
-        the list still names the former one, which looks idle.
-        Cause: each of 64 hosts learnt it by itself, and the one that chooses for all
-        wasn't told."""
+    def test_failure_seen_by_one_host_is_reported_to_the_others(self, seen, trials):
+        """Guards against refusals after a crash although there is free capacity.
+
+        An engine crashes and restarts at its address under another name, while the list
+        still names the former one, which looks idle. If each of 64 hosts and the
+        scheduler learn this separately, a third of all tries is refused.
+        """
 
         async def main():
             async with Region(HOSTS, 2) as region:
@@ -134,7 +145,7 @@
                             tracked.note_replaced()
                         else:
                             tracked.note_unreached(monotonic())
-                await curio.sleep(SILENT_AFTER + 3 * REPORT_INTERVAL)
+                await curio.sleep(UNRESPONSIVE_AFTER + 3 * REPORT_INTERVAL)
                 found = [await h.send("x") for h in region.members[5:25]]
                 names = [each.target.info.incarnation for each in found]
                 return names.count("t0")
@@ -144,10 +155,11 @@
 
 class TestCoreScheduler(unittest.TestCase):
     def test_hosts_of_the_core_choose_before_entry_hosts(self):
-        """Symptom: answers of the scheduler take 0.1 s, and a third of the
-        requests is placed without it.
-        Sequence: it is an entry host; callers' prompts fill its link.
-        Cause: who schedules was chosen among hosts with narrow links."""
+        """Guards against scheduler answers that take 0.1 s.
+
+        A third of the requests is then placed without an answer. This happens when the
+        scheduler is an entry host, whose narrow link is filled by callers' prompts.
+        """
 
         async def main():
             async with Region(9, 2, core=("10.1.9.1", "10.1.9.2")) as region:
@@ -160,23 +172,24 @@
                 await curio.sleep(3 * REPORT_INTERVAL)
                 known = sum(t.load.in_flight(monotonic()) for t in core.table.all())
                 await curio.sleep(0.3)
-                told = [load.in_progress for load in core.registry.loads()]
-                region.cut.add(name)
+                reported = [load.in_progress for load in core.registry.loads()]
+                region.partitioned.add(name)
                 for host in hosts:
-                    for number in range(MOST_UNANSWERED):
+                    for number in range(MAX_UNANSWERED):
                         await host.send(f"{number}.")
                 second = {host.exchange.scheduler for host in hosts}
-                return first, known, told, second, set(region.core)
+                return first, known, reported, second, set(region.core)
 
-        first, known, told, second, core = curio.run(main)
-        self.assertEqual((known, told), (9, [9]))
+        first, known, reported, second, core = curio.run(main)
+        self.assertEqual((known, reported), (9, [9]))
         self.assertEqual(second, core - first)
 
     def test_host_that_knows_no_targets_yet_refuses_nobody(self):
-        """Symptom: requests are turned away while all targets stand idle.
-        Sequence: the scheduler is started anew, and is asked before it has read the
-        list of targets.
-        Cause: it said that there is no target."""
+        """Guards against refused requests while all targets are idle.
+
+        This happens when a restarted scheduler is queried before it has read the list
+        of targets, and answers that there is no target.
+        """
 
         async def main():
             async with Region(9, 2, core=("10.1.9.1",)) as region:
@@ -189,11 +202,11 @@
 
 
 class TestReservations(unittest.TestCase):
-    @params((0.0, True, 0), (0.0, False, 1), (RESERVED_FOR + 0.1, False, 0))
+    @params((0.0, True, 0), (0.0, False, 1), (RESERVATION_EXPIRY + 0.1, False, 0))
     def test_granted_request_counts_until_its_host_tells_of_it(
         self, seconds, settled, expected
     ):
-        """A host that dies with a grant takes no room for longer than a second."""
+        """Checks that the grant of a dead host occupies capacity for at most 1 s."""
         load = EngineLoad()
         load.reserve("h", 7, OwnRun(100, 50, 0, 10.0))
         if settled:
@@ -203,19 +216,19 @@
         self.assertEqual(load.memory_tokens(now), 100 * expected)
         self.assertEqual(load.tokens_before(0, 1.0, now), 50 * expected)
 
-    def test_another_collector_begins_without_them(self):
+    def test_collector_change_drops_reservations(self):
         load = EngineLoad()
         load.reserve("h", 7, OwnRun(100, 50, 0, 10.0))
         load.forget_others()
         self.assertEqual(load.in_flight(10.0), 0)
 
-    def test_sum_of_others_follows_each_word_and_its_age(self):
+    def test_sum_of_others_follows_each_report_and_its_age(self):
         load = EngineLoad()
-        load.take_notice("a", TargetLoad("t", 3, 30, [0, 0, 0, 0], 0, 0, 0), 10.0)
-        load.take_notice("b", TargetLoad("t", 4, 40, [0, 9, 0, 0], 9, 1, 0), 11.0)
+        load.apply_notice("a", TargetLoad("t", 3, 30, [0, 0, 0, 0], 0, 0, 0), 10.0)
+        load.apply_notice("b", TargetLoad("t", 4, 40, [0, 9, 0, 0], 9, 1, 0), 11.0)
         found = [load.in_flight(11.0), load.memory_tokens(11.0)]
         self.assertEqual(found, [7, 70])
-        load.take_notice("b", TargetLoad("t", 1, 10, [0, 0, 0, 0], 0, 0, 0), 12.0)
+        load.apply_notice("b", TargetLoad("t", 1, 10, [0, 0, 0, 0], 0, 0, 0), 12.0)
         self.assertEqual(load.in_flight(12.0), 4)
         self.assertEqual(load.in_flight(13.5), 1)
         self.assertEqual(load.in_flight(15.5), 0)
@@ -223,17 +236,19 @@
 
 class TestSilentScheduler(unittest.TestCase):
     def test_nothing_waits_on_a_dead_host(self):
-        """Symptom: all requests of a region stand still when one host dies.
-        Sequence: the scheduler loses power; its connections stay open.
-        Cause: the others would wait for its answers."""
+        """Guards against a region whose requests all stall when one host dies.
+
+        This happens when the scheduler loses power while its connections stay open, and
+        the other hosts wait for its answers.
+        """
 
         async def main():
             async with Region(9, 2) as region:
                 dead = region.scheduler
-                region.cut.add(dead.name)
+                region.partitioned.add(dead.name)
                 host = next(h for h in region.hosts.values() if h is not dead)
                 took, found = [], []
-                for number in range(MOST_UNANSWERED + 2):
+                for number in range(MAX_UNANSWERED + 2):
                     began = monotonic()
                     found.append(await host.send(str(number)))
                     took.append(monotonic() - began)
@@ -242,28 +257,28 @@
         took, found, scheduler, dead = curio.run(main)
         self.assertTrue(all(isinstance(each, AtHome) for each in found))
         self.assertNotEqual(scheduler, dead)
-        self.assertGreaterEqual(min(took[:MOST_UNANSWERED]), ANSWER_TIMEOUT)
-        self.assertLess(sum(took[MOST_UNANSWERED:]), ANSWER_TIMEOUT)
+        self.assertGreaterEqual(min(took[:MAX_UNANSWERED]), ANSWER_TIMEOUT)
+        self.assertLess(sum(took[MAX_UNANSWERED:]), ANSWER_TIMEOUT)
 
-    def test_scheduler_that_is_heard_again_chooses_again(self):
+    def test_reachable_scheduler_resumes(self):
         async def main():
             async with Region(9, 2) as region:
                 former = region.scheduler
-                region.cut.add(former.name)
+                region.partitioned.add(former.name)
                 hosts = [h for h in region.hosts.values() if h is not former]
                 for host in hosts:
-                    for number in range(MOST_UNANSWERED):
+                    for number in range(MAX_UNANSWERED):
                         await host.send(f"{number}")
                 during = {host.exchange.scheduler for host in hosts}
-                region.cut.clear()
-                await curio.sleep(2 * TELL_INTERVAL + 0.5)
+                region.partitioned.clear()
+                await curio.sleep(2 * NOTICE_INTERVAL + 0.5)
                 return during, {h.exchange.scheduler for h in hosts}, former.name
 
         during, after, former = curio.run(main)
         self.assertNotIn(former, during)
         self.assertEqual(after, {former})
 
-    def test_grant_that_comes_too_late_is_given_back(self):
+    def test_late_grant_is_released(self):
         async def main():
             async with Region(9, 1) as region:
                 scheduler = region.scheduler
@@ -280,13 +295,13 @@
         self.assertEqual(curio.run(main), (1, 0))
 
 
-class TestLine(unittest.TestCase):
+class TestQueue(unittest.TestCase):
     @params(([0, 0], [0, 1]), ([1, 0], [1, 0]))
-    def test_requests_of_all_hosts_stand_in_one_line(self, ranks, order):
-        """Symptom: urgent requests of one host wait while another's late ones are
-        served.
-        Sequence: a region is full, and hosts with requests of both sorts look for room.
-        Cause: each host had a line of its own."""
+    def test_requests_of_all_hosts_share_one_queue(self, ranks, order):
+        """Guards against urgent requests that wait while less urgent ones are served.
+
+        This happens in a full region if each host has a queue of its own.
+        """
 
         async def main():
             async with Region(9, 1) as region:
@@ -317,10 +332,11 @@
 
     @params((3, True), (60, False))
     def test_only_as_many_wait_as_can_be_served(self, waiting, served):
-        """Symptom: in a burst most requests wait for half of their objective and are
-        then turned away.
-        Sequence: a region is full, and more come than it ends in that time.
-        Cause: every request stood in line, whatever stood before it."""
+        """Guards against requests that wait half of their objective and are refused.
+
+        In a full region more requests arrive than end in that time. A request must not
+        join a queue that is too long already.
+        """
 
         async def main():
             async with Region(9, 1) as region:
@@ -344,14 +360,15 @@
 
         refused = curio.run(main)
         self.assertEqual(refused == 0, served)
-        # 32 slots that are held for a second begin 25 requests in 0.8 s.
+        # 32 slots that are held for a second start 25 requests in 0.8 s.
         self.assertLessEqual(waiting - refused, 25)
 
-    def test_line_empties_as_fast_as_there_is_room(self):
-        """Symptom: requests wait for half of their objective, and are turned away,
-        beside idle targets.
-        Sequence: a region is full and 24 stand in line; its targets end all at once.
-        Cause: only the first three of a line got room at each look."""
+    def test_queue_drains_as_fast_as_capacity_frees_up(self):
+        """Guards against requests that wait and are refused beside idle targets.
+
+        A region is full, 24 requests are queued, and all running ones end at once. If
+        each check serves only the first three requests, the others wait.
+        """
 
         async def main():
             async with Region(9, 1) as region:
@@ -368,7 +385,7 @@
                 await curio.sleep(0.1)
                 for number in range(SLOTS):
                     load.end(f"{number}")
-                await curio.sleep(3 * LOOK_INTERVAL)
+                await curio.sleep(3 * POLL_INTERVAL)
                 served = len(found)
                 for task in tasks:
                     await task.cancel()
@@ -376,7 +393,7 @@
 
         self.assertEqual(curio.run(main), 24)
 
-    def test_full_region_says_so(self):
+    def test_full_region_is_reported(self):
         async def main():
             async with Region(9, 1) as region:
                 load = region.scheduler.table.get("t0").load
@@ -389,11 +406,12 @@
 
 
 class TestTalk(unittest.TestCase):
-    def test_own_talk_leaves_the_link_to_callers(self):
-        """Symptom: the host that adds up loads sends as much as its link carries, and
-        what it says waits behind that.
-        Sequence: 64 hosts before 20 targets, 100 requests a second.
-        Cause: each host was told of each change at each target."""
+    def test_own_traffic_leaves_the_link_to_callers(self):
+        """Guards against a collector whose notices fill its link and delay its answers.
+
+        With 64 hosts, 20 targets and 100 requests a second, this happens when each host
+        gets each change of each target.
+        """
         seconds = 3.0
 
         async def main():
@@ -410,7 +428,7 @@
                     await curio.sleep(0.008)
                 return max(region.sent_bytes.values())
 
-        self.assertLessEqual(curio.run(main), TALK_SHARE * LINK * seconds)
+        self.assertLessEqual(curio.run(main), TRAFFIC_SHARE * LINK * seconds)
 
 
 if __name__ == "__main__":
--- a/tests/test_relay_late_requests.py
+++ b/tests/test_relay_late_requests.py
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import RouteKind, ServedRoute
-from bronzepoint_node.placement._waiting_line import Waiter, WaitingLine
+from bronzepoint_node.placement._waiting_line import QueuedRequest, RequestQueue
 from bronzepoint_node.relay._call import LATE_RANKS, Call
 from bronzepoint_node.relay._usual_deadlines import UsualDeadlines
 
@@ -68,13 +68,13 @@
         Cause: they stood in order of arrival."""
 
         async def main():
-            line = WaitingLine()
+            line = RequestQueue()
             crowd = [call(spent=4.0) for _ in range(20)]
             begun = [call() for _ in range(5)]
             for order, each in enumerate(crowd + begun):
                 rank = each.rank(monotonic())
-                line.join(Waiter(rank, float(order), monotonic() + 1.0))
-            return [waiter.arrived for waiter in line._waiters]
+                line.join(QueuedRequest(rank, float(order), monotonic() + 1.0))
+            return [waiter.arrived for waiter in line._queued]
 
         self.assertEqual(curio.run(main), [*range(20, 25), *range(20)])
 
--- a/tests/test_relay_waiting_line.py
+++ b/tests/test_relay_waiting_line.py
@@ -6,7 +6,11 @@
 from nose2.tools import params
 
 from bronzepoint_common.clock import monotonic
-from bronzepoint_node.placement._waiting_line import HEADS, Waiter, WaitingLine
+from bronzepoint_node.placement._waiting_line import (
+    HEAD_COUNT,
+    QueuedRequest,
+    RequestQueue,
+)
 
 
 async def looks(line, waiter, seconds):
@@ -19,18 +23,18 @@
 
 
 def waiter(arrived, rank=0, patience=60.0):
-    return Waiter(rank, arrived, monotonic() + patience)
+    return QueuedRequest(rank, arrived, monotonic() + patience)
 
 
 class TestWaitingLine(unittest.TestCase):
-    @params((1, 1), (HEADS, HEADS), (40, HEADS))
+    @params((1, 1), (HEAD_COUNT, HEAD_COUNT), (40, HEAD_COUNT))
     def test_only_the_first_look_for_room(self, count, expected):
         """Symptom: under load a host's streams pause, and its processor is used up.
         Sequence: dozens of requests wait, and each looks for room 33 times a second.
         Cause: the cost of looking grew with the number of those that wait."""
 
         async def main():
-            line = WaitingLine()
+            line = RequestQueue()
             waiters = [waiter(number) for number in range(count)]
             for each in reversed(waiters):
                 line.join(each)
@@ -48,18 +52,18 @@
     )
     def test_urgent_ones_go_first_then_those_that_came_first(self, ranks, order):
         async def main():
-            line = WaitingLine()
+            line = RequestQueue()
             waiters = [waiter(number, rank) for number, rank in enumerate(ranks)]
             for each in waiters:
                 line.join(each)
-            return [waiters.index(each) for each in line._waiters]
+            return [waiters.index(each) for each in line._queued]
 
         self.assertEqual(curio.run(main), order)
 
     def test_next_one_looks_once_another_has_left(self):
         async def main():
-            line = WaitingLine()
-            waiters = [waiter(number) for number in range(HEADS + 1)]
+            line = RequestQueue()
+            waiters = [waiter(number) for number in range(HEAD_COUNT + 1)]
             for each in waiters:
                 line.join(each)
             last = await curio.spawn(looks, line, waiters[-1], 0.3)
@@ -69,7 +73,7 @@
 
         looked, left = curio.run(main)
         self.assertGreater(looked, 0)
-        self.assertEqual(left, HEADS)
+        self.assertEqual(left, HEAD_COUNT)
 
     def test_one_that_is_never_a_head_looks_at_the_end(self):
         """Symptom: a request is refused though its region has had room for it.
@@ -77,8 +81,8 @@
         Cause: it was told that its time is over before it had looked again."""
 
         async def main():
-            line = WaitingLine()
-            for number in range(HEADS):
+            line = RequestQueue()
+            for number in range(HEAD_COUNT):
                 line.join(waiter(number))
             late = waiter(9, patience=0.1)
             line.join(late)
