--- a/tests/test_relay_late_requests.py
+++ b/tests/test_relay_late_requests.py
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import RouteKind, ServedRoute
-from bronzepoint_node.placement._waiting_line import Waiter, WaitingLine
+from bronzepoint_node.placement._waiting_line import QueuedRequest, RequestQueue
 from bronzepoint_node.relay._call import LATE_RANKS, Call
 from bronzepoint_node.relay._usual_deadlines import UsualDeadlines
 
@@ -69,13 +69,13 @@
         """
 
         async def main():
-            queue = WaitingLine()
+            queue = RequestQueue()
             retries = [call(prior_wait=4.0) for _ in range(20)]
             new = [call() for _ in range(5)]
             for order, each in enumerate(retries + new):
                 rank = each.rank(monotonic())
-                queue.join(Waiter(rank, float(order), monotonic() + 1.0))
-            return [waiter.arrived for waiter in queue._waiters]
+                queue.join(QueuedRequest(rank, float(order), monotonic() + 1.0))
+            return [waiter.arrived for waiter in queue._queued]
 
         self.assertEqual(curio.run(main), [*range(20, 25), *range(20)])
 
--- a/tests/test_relay_waiting_line.py
+++ b/tests/test_relay_waiting_line.py
@@ -6,7 +6,11 @@
 from nose2.tools import params
 
 from bronzepoint_common.clock import monotonic
-from bronzepoint_node.placement._waiting_line import HEADS, Waiter, WaitingLine
+from bronzepoint_node.placement._waiting_line import (
+    HEAD_COUNT,
+    QueuedRequest,
+    RequestQueue,
+)
 
 
 async def count_checks(queue, waiter, seconds):
@@ -19,11 +23,11 @@
 
 
 def waiter(arrived, rank=0, max_wait=60.0):
-    return Waiter(rank, arrived, monotonic() + max_wait)
+    return QueuedRequest(rank, arrived, monotonic() + max_wait)
 
 
 class TestWaitingLine(unittest.TestCase):
-    @params((1, 1), (HEADS, HEADS), (40, HEADS))
+    @params((1, 1), (HEAD_COUNT, HEAD_COUNT), (40, HEAD_COUNT))
     def test_only_the_first_check_for_capacity(self, count, expected):
         """Guards against a host that spends its processor time on capacity checks, so
         that its streams stall under load.
@@ -33,7 +37,7 @@
         """
 
         async def main():
-            queue = WaitingLine()
+            queue = RequestQueue()
             waiters = [waiter(number) for number in range(count)]
             for each in reversed(waiters):
                 queue.join(each)
@@ -53,18 +57,18 @@
     )
     def test_order_by_rank_then_by_arrival(self, ranks, order):
         async def main():
-            queue = WaitingLine()
+            queue = RequestQueue()
             waiters = [waiter(number, rank) for number, rank in enumerate(ranks)]
             for each in waiters:
                 queue.join(each)
-            return [waiters.index(each) for each in queue._waiters]
+            return [waiters.index(each) for each in queue._queued]
 
         self.assertEqual(curio.run(main), order)
 
     def test_next_one_checks_once_another_has_left(self):
         async def main():
-            queue = WaitingLine()
-            waiters = [waiter(number) for number in range(HEADS + 1)]
+            queue = RequestQueue()
+            waiters = [waiter(number) for number in range(HEAD_COUNT + 1)]
             for each in waiters:
                 queue.join(each)
             last = await curio.spawn(count_checks, queue, waiters[-1], 0.3)
@@ -74,7 +78,7 @@
 
         checked, left = curio.run(main)
         self.assertGreater(checked, 0)
-        self.assertEqual(left, HEADS)
+        self.assertEqual(left, HEAD_COUNT)
 
     def test_request_never_at_the_head_checks_at_the_end(self):
         """Guards against a request that is refused although its region has had free
@@ -85,8 +89,8 @@
         """
 
         async def main():
-            queue = WaitingLine()
-            for number in range(HEADS):
+            queue = RequestQueue()
+            for number in range(HEAD_COUNT):
                 queue.join(waiter(number))
             late = waiter(9, max_wait=0.1)
             queue.join(late)
