--- a/packages/node/src/bronzepoint_node/catalogue/__init__.py
+++ b/packages/node/src/bronzepoint_node/catalogue/__init__.py
@@ -1,4 +1,4 @@
-"""The catalogue on each host: what it serves on and how it learns of changes."""
+"""The catalogue on each host: its local view and the distribution of changes."""
 
 from bronzepoint_common.items import item_kind
 
@@ -11,7 +11,7 @@
     make_patch,
     patched,
 )
-from ._neighbours import Source
+from ._parent_selector import AgreementSource
 from ._status import CatalogueStatus
 from ._tree import LiveHost
 from ._validation import find_contradictions, is_ip_address_and_port
@@ -23,7 +23,7 @@
     "CatalogueView",
     "ItemKey",
     "LiveHost",
-    "Source",
+    "AgreementSource",
     "apply_delta",
     "find_contradictions",
     "is_ip_address_and_port",
--- a/packages/node/src/bronzepoint_node/catalogue/_catalogue.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue on this host: held, served on, and passed to other hosts."""
+"""The catalogue on this host: storage, view and distribution to other hosts."""
 
 from collections.abc import Callable, Sequence
 from pathlib import Path
@@ -26,37 +26,39 @@
 from ._children import Children
 from ._exposure import Exposure
 from ._held import HeldCatalogue
-from ._neighbours import Neighbours, Source
+from ._parent_selector import AgreementSource, ParentSelector
 from ._poller import Poller
 from ._status import CatalogueStatus
 from ._tree import LiveHost
 from ._view import CatalogueView
 
 _POLLS_PER_BOUND = 5
-"""Polls of the parent within the bound: three hops of one interval each, and slack."""
+"""Number of polls of the parent within the bound. A change passes up to three hops of
+one poll interval each, and the rest is slack."""
 _STALE_SHARE = 0.6
-"""Share of the bound above which a parent's knowledge is too old to be of use."""
-_LEADER_PATIENCE = 1.5
-"""Seconds that a restarted host waits for the leader before it asks its region."""
-_REGION_PATIENCE = 3.0
-"""Seconds that a restarted host waits for hosts of its region that don't answer."""
-_FIRST_PAUSE = 0.1
-"""Seconds between two readings of the region at first; it doubles each time."""
+"""Share of the bound above which a parent's confirmation is too old to be useful."""
+_LEADER_MAX_WAIT = 1.5
+"""Seconds that a restarted host waits for the leader before its region decides."""
+_REGION_MAX_WAIT = 3.0
+"""Seconds that a restarted host waits for unresponsive hosts of its region."""
+_FIRST_POLL_PAUSE = 0.1
+"""Seconds between the first two rounds of polls after a start; each pause doubles."""
 _UNKNOWN_AGE = -1.0
+"""Value of an age in seconds on the wire and in status before any confirmation."""
 _log = get_logger("catalogue")
 
 
 class Catalogue:
-    """Follows the agreed catalogue and passes it on.
+    """Replicates the agreed catalogue and distributes it to other hosts.
 
     Args:
         settings: This host's settings.
         peers: Links to the other hosts.
-        metrics: Counters and the gauge ``catalogue.confirmed_age``.
+        metrics: Counters and gauges, such as ``catalogue.confirmed_age``.
         live_hosts: Returns the hosts that membership knows.
 
     Attributes:
-        view: What this host serves on.
+        view: View of the catalogue that requests are decided on.
     """
 
     def __init__(
@@ -71,24 +73,24 @@
         self._bound = settings.agreement.in_force_bound
         self._peers = peers
         self._metrics = metrics
-        self._neighbours = Neighbours(settings, live_hosts)
+        self._parent_selector = ParentSelector(settings, live_hosts)
         self._children = Children(peers)
         self._poller = Poller(host.name, peers, self)
         self._held = HeldCatalogue(Path(host.data_folder) if host.data_folder else None)
         self._exposure = Exposure()
-        self._source: Source | None = None
-        self._foreign = ClusterId("")
+        self._source: AgreementSource | None = None
+        self._foreign_cluster = ClusterId("")
         self._started_at = monotonic()
         self._confirmed_at = float("-inf")
         self._recovered = False
         self._lock = curio.Lock()
-        self._behind = curio.Event()
+        self._deltas_missing = curio.Event()
         self._tasks = curio.TaskGroup()
         peers.register(Area.CATALOGUE, CatalogueMessage, self._handle)
 
     @property
     def cluster(self) -> ClusterId:
-        """The cluster that this host follows; empty: none yet."""
+        """The cluster that this host belongs to; empty before it has joined one."""
         return self._held.cluster
 
     @property
@@ -96,12 +98,12 @@
         """Newest revision that this host holds."""
         return self._held.revision
 
-    def follow(self, source: Source) -> None:
-        """Name the agreement; before ``start``."""
+    def follow(self, source: AgreementSource) -> None:
+        """Set the agreement; must be called before ``start``."""
         self._source = source
 
     async def start(self) -> None:
-        """Read what was kept and begin to follow.
+        """Load the stored catalogue and start replication.
 
         Raises:
             StorageError: The data folder is damaged, or another process holds it.
@@ -110,18 +112,18 @@
         self._recovered = bool(self._held.cluster)
         self._started_at = monotonic()
         if self._recovered:
-            self._note_held()
-        await self._tasks.spawn(self._become_current)
+            self._on_held_change()
+        await self._tasks.spawn(self._catch_up)
         await self._tasks.spawn(self._follow)
-        await self._tasks.spawn(self._watch)
+        await self._tasks.spawn(self._monitor)
 
     async def close(self) -> None:
-        """Stop following and close the files."""
+        """Stop replication and close the files."""
         await self._tasks.cancel_remaining()
         await self._held.close()
 
     async def advance(self, cluster: ClusterId, deltas: list[Delta]) -> bool:
-        """Take deltas that were agreed; False where one in between is missing."""
+        """Apply agreed deltas; return False if a preceding delta is missing."""
         async with self._lock:
             if not await self._join(cluster):
                 return True
@@ -129,26 +131,26 @@
             if not await self._held.advance(deltas):
                 return False
             if self._held.revision > before:
-                self._note_held()
-                self._pass_on(before)
+                self._on_held_change()
+                self._push_deltas(before)
         return True
 
     async def replace(self, view: ViewSnapshot) -> None:
-        """Take a whole view, if it is newer."""
+        """Replace the held catalogue with a complete view, if that is newer."""
         async with self._lock:
             if not await self._join(view.cluster):
                 return
             if view.revision > self._held.revision:
                 await self._held.replace(view)
                 self._metrics.incr("catalogue.whole_view")
-                self._note_held()
+                self._on_held_change()
 
     def within_bound(self) -> bool:
-        """Tell whether every change accepted a bound ago is known to be in force."""
+        """Return whether all changes older than the bound are known to be in effect."""
         return self.view.ready and self.view.confirmed_age() <= self._bound
 
     def status(self) -> CatalogueStatus:
-        """Return what operators see of the catalogue on this host."""
+        """Return the catalogue status of this host for operators."""
         age = self.view.confirmed_age()
         return CatalogueStatus(
             cluster=self._held.cluster,
@@ -157,46 +159,46 @@
             ready=self.view.ready,
             confirmed_age=round(age, 3) if age != float("inf") else _UNKNOWN_AGE,
             within_bound=self.within_bound(),
-            parent=self._neighbours.parent,
+            parent=self._parent_selector.parent,
             children=len(self._children.live()),
-            foreign_cluster=self._foreign,
+            foreign_cluster=self._foreign_cluster,
         )
 
-    def _pass_on(self, before: Revision) -> None:
-        """Tell the hosts that learn from this one, and those whose copy is wanted."""
-        wanted = self._exposure.is_waiting
-        # Voters get it from the log.
+    def _push_deltas(self, before: Revision) -> None:
+        """Send new deltas to the children, and to the hosts that should hold a copy."""
+        copy_wanted = self._exposure.is_waiting
+        # Voters receive the deltas from the agreement log.
         voters = self._source.voters() if self._source else []
-        self._children.tell(self._held, wanted, voters)
-        deltas = self._held.deltas_after(before) if wanted else None
-        for host in self._neighbours.seconds() if deltas else []:
-            notice = DeltaNotice(self._held.cluster, deltas, wanted)
+        self._children.push(self._held, copy_wanted, voters)
+        deltas = self._held.deltas_after(before) if copy_wanted else None
+        for host in self._parent_selector.second_copy_hosts() if deltas else []:
+            notice = DeltaNotice(self._held.cluster, deltas, copy_wanted)
             self._peers.post(host, Area.CATALOGUE, notice)
 
     async def _join(self, cluster: ClusterId) -> bool:
         if not self._held.cluster:
             await self._held.join(cluster)
-            self._note_held()
+            self._on_held_change()
         if self._held.cluster == cluster:
             return True
-        # The voters were begun anew, or this host was moved here with its old data:
-        # following would go back to an older or a foreign view.
+        # The voters were initialised again, or this host was moved here with its old
+        # data. Following them would replace the view by an older or foreign one.
         self._metrics.incr("catalogue.other_cluster")
-        self._foreign = cluster
+        self._foreign_cluster = cluster
         return False
 
-    def _note_held(self) -> None:
-        """Let what is held be served on as soon as a restart can't lose it."""
+    def _on_held_change(self) -> None:
+        """Add the held revision to the exposure and expose it if a copy exists."""
         held = self._held
         self._exposure.add(held.revision, held.items, monotonic())
-        if held.durable or not self._neighbours.of_region():
+        if held.durable or not self._parent_selector.of_region():
             self._exposure.note_copy(held.revision)
         self._expose()
 
     def _expose(self) -> None:
-        taken = self._exposure.take(monotonic())
-        if taken is not None:
-            revision, items, alone = taken
+        exposed = self._exposure.take(monotonic())
+        if exposed is not None:
+            revision, items, alone = exposed
             if alone:
                 self._metrics.incr("catalogue.exposed_alone")
             if revision >= self.view.revision:
@@ -204,7 +206,7 @@
         if self.view.revision == self._held.revision:
             self.view.confirm(self._confirmed_at)
 
-    def _become_ready(self, reason: str) -> None:
+    def _mark_ready(self, reason: str) -> None:
         if self.view.ready or self.view.revision < self._held.revision:
             return
         self.view.show(self._held.revision, self._held.items, True)
@@ -212,15 +214,15 @@
         _log.info("catalogue ready", revision=self.view.revision, reason=reason)
 
     def confirm(self, at: float) -> None:
-        """Note that what is held was current at a time.
+        """Record that the held revision was current at a monotonic time.
 
-        A view confirmed for a time after this process started is no older than any
-        that this host or its region had acknowledged before.
+        A view confirmed for a time after the start of this process is at least as new
+        as any that this host or its region had acknowledged before.
         """
         self._confirmed_at = max(self._confirmed_at, at)
         self._expose()
         if self._held.cluster and at >= self._started_at:
-            self._become_ready("confirmed")
+            self._mark_ready("confirmed")
 
     def _age(self) -> float:
         leader_age = self._source.leader_age() if self._source else None
@@ -262,8 +264,8 @@
         )
 
     def note_copy(self, peer: HostName, cluster: ClusterId, revision: Revision) -> None:
-        """Note that another host holds a revision; it counts if it is of the region."""
-        if cluster == self._held.cluster and peer in self._neighbours.of_region():
+        """Record that another host holds a revision; only hosts of the region count."""
+        if cluster == self._held.cluster and peer in self._parent_selector.of_region():
             self._exposure.note_copy(revision)
             self._expose()
 
@@ -273,35 +275,35 @@
         if notice.deltas:
             self.note_copy(peer, notice.cluster, notice.deltas[-1].revision)
         if not await self.advance(notice.cluster, notice.deltas):
-            await self._behind.set()
+            await self._deltas_missing.set()
             return
         if notice.copy_wanted:
             held = HeldNotice(notice.cluster, self.held)
             self._peers.post(peer, Area.CATALOGUE, held)
 
     async def _follow(self) -> None:
-        """Poll a parent, again and again."""
+        """Poll a parent at each interval, or at once if deltas are missing."""
         interval = self._bound / _POLLS_PER_BOUND
         while True:
-            for host in self._to_ask():
-                reply = await self._poller.ask(host)
+            for host in self._hosts_to_poll():
+                reply = await self._poller.poll(host)
                 if reply is None:
                     self._metrics.incr("catalogue.parent_silent")
                 if reply is None or not 0 <= reply.age <= self._bound * _STALE_SHARE:
-                    self._neighbours.skip(host)
+                    self._parent_selector.skip(host)
             async with curio.ignore_after(interval):
-                await self._behind.wait()
-            self._behind.clear()
+                await self._deltas_missing.wait()
+            self._deltas_missing.clear()
 
-    def _to_ask(self) -> list[HostName]:
+    def _hosts_to_poll(self) -> list[HostName]:
         if self._source is None:
             return []
         age = monotonic() - self._confirmed_at
         confirmed = age <= self._bound * _STALE_SHARE
-        return self._neighbours.to_ask(self._source, confirmed)
+        return self._parent_selector.hosts_to_poll(self._source, confirmed)
 
-    async def _watch(self) -> None:
-        """Show how old the view is, and let out revisions that waited long enough."""
+    async def _monitor(self) -> None:
+        """Update the metrics, and expose revisions that were withheld long enough."""
         interval = self._bound / _POLLS_PER_BOUND / 2
         was_within = True
         while True:
@@ -315,42 +317,42 @@
             within = self.within_bound()
             if was_within and not within and self.view.ready:
                 self._metrics.incr("catalogue.bound_exceeded")
-                _log.warning("changes may not reach this host", age=round(age, 1))
+                _log.warning("catalogue not confirmed in time", age=round(age, 1))
             was_within = within
             self._metrics.gauge("catalogue.within_bound", int(within))
             await curio.sleep(interval)
 
-    async def _become_current(self) -> None:
-        """Catch up before serving, until the view is ready.
+    async def _catch_up(self) -> None:
+        """Catch up after a start until the view is ready to serve.
 
-        The voters are asked first, all of them: the leader's own answer is the only
-        one that is certainly younger than this process. Where it doesn't come, the
-        region is asked: another host of it may have served on a newer view than this
-        one kept. Ready once each of them has answered, or has had its time to, and
-        one of the answers or the own disk holds a view that was served on. A host
-        with neither waits for the leader's confirmation; the others give that a
-        little time to come first, for a whole region may have been away.
+        All voters are polled first, as only the leader's answer is certain to be newer
+        than this process. Without it, the hosts of the region are polled, as one of
+        them may have used a newer view than the one stored here. The view is ready once
+        each of them has answered or timed out, and one of the answers or this host's
+        disk provides a view that was already in use. A host with neither waits for the
+        leader's confirmation. The others also wait for it briefly, since the whole
+        region may have been disconnected.
         """
-        after = self._started_at + _LEADER_PATIENCE
-        deadline = self._started_at + _REGION_PATIENCE
-        pause = _FIRST_PAUSE
+        earliest = self._started_at + _LEADER_MAX_WAIT
+        deadline = self._started_at + _REGION_MAX_WAIT
+        pause = _FIRST_POLL_PAUSE
         while not self.view.ready:
-            await self._poller.ask_all(self._source.voters() if self._source else [])
+            await self._poller.poll_all(self._source.voters() if self._source else [])
             if self.view.ready:
                 return
-            answers = await self._poller.ask_all(self._neighbours.of_region())
-            answered = all(a is not None and self._has_all(a) for a in answers)
+            answers = await self._poller.poll_all(self._parent_selector.of_region())
+            answered = all(a is not None and self._holds_all(a) for a in answers)
             served = self._recovered or any(a is not None and a.ready for a in answers)
-            enough = after if answered else deadline
-            if served and monotonic() >= enough:
+            ready_at = earliest if answered else deadline
+            if served and monotonic() >= ready_at:
                 if not answered:
                     self._metrics.incr("catalogue.region_partial")
                 self._exposure.note_copy(self._held.revision)
                 self._expose()
-                self._become_ready("region")
+                self._mark_ready("region")
             await curio.sleep(pause)
             pause = min(2 * pause, self._bound / _POLLS_PER_BOUND)
 
-    def _has_all(self, reply: PollReply) -> bool:
-        """Tell whether all that another host said it holds is held here."""
+    def _holds_all(self, reply: PollReply) -> bool:
+        """Return whether this host holds the revision that another host reported."""
         return not reply.cluster or self._held.revision >= reply.revision
--- a/packages/node/src/bronzepoint_node/catalogue/_children.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_children.py
@@ -1,4 +1,4 @@
-"""The hosts that learn from this one."""
+"""The hosts that receive catalogue changes from this one."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -10,8 +10,8 @@
 
 from ._held import HeldCatalogue
 
-LIFETIME = 4.0
-"""Seconds after its last poll for which a host is told of changes at once."""
+CHILD_EXPIRY = 4.0
+"""Seconds after its last poll for which changes are pushed to a host."""
 
 
 @dataclass
@@ -21,10 +21,10 @@
 
 
 class Children:
-    """Knows who polls this host, and passes new deltas on without being asked.
+    """Tracks the hosts that poll this one and pushes new deltas to them.
 
-    A notice may be lost: the next poll makes up for it. Without notices a change
-    would wait for a poll at each hop.
+    Without pushed notices, a change would wait for a poll at each hop. If a notice is
+    lost, the next poll fetches the deltas.
 
     Args:
         peers: Links to the other hosts.
@@ -35,12 +35,12 @@
         self._children: dict[HostName, _Child] = {}
 
     def note_poll(self, name: HostName, revision: Revision) -> None:
-        """Note that a host polls, and what it holds."""
+        """Record a poll of a host and the revision that it holds."""
         self._children[name] = _Child(revision, monotonic())
 
     def live(self) -> list[HostName]:
-        """Return the hosts that polled lately."""
-        oldest = monotonic() - LIFETIME
+        """Return the hosts that polled within the last ``CHILD_EXPIRY`` seconds."""
+        oldest = monotonic() - CHILD_EXPIRY
         self._children = {
             name: child
             for name, child in self._children.items()
@@ -48,18 +48,18 @@
         }
         return list(self._children)
 
-    def tell(
-        self, held: HeldCatalogue, copy_wanted: bool, but: Collection[HostName]
+    def push(
+        self, held: HeldCatalogue, copy_wanted: bool, exclude: Collection[HostName]
     ) -> None:
-        """Send what they lack to hosts that polled lately.
+        """Push missing deltas to the live children.
 
         Args:
-            held: What this host holds.
+            held: The catalogue that this host holds.
             copy_wanted: Whether this host waits for a second copy in the region.
-            but: Hosts that learn of it otherwise.
+            exclude: Hosts that receive the deltas in another way.
         """
         for name in self.live():
-            if name in but:
+            if name in exclude:
                 continue
             child = self._children[name]
             deltas = held.deltas_after(child.revision)
--- a/packages/node/src/bronzepoint_node/catalogue/_held.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_held.py
@@ -1,4 +1,4 @@
-"""The catalogue as this host holds it, with the newest deltas and its files."""
+"""The stored catalogue of this host, its recent deltas and its files."""
 
 import zlib
 from collections import deque
@@ -18,11 +18,14 @@
 from ._items import ItemKey, apply_delta, item_key
 
 _NAME = "catalogue"
-_DELTAS_KEPT = 1024
-"""Deltas kept for hosts that are behind; further back they take the whole view."""
-_DELTAS_SENT = 256
+_MAX_DELTAS = 1024
+"""Maximum number of deltas kept for hosts that are behind. Hosts that are further
+behind get the whole view."""
+_MAX_DELTAS_SENT = 256
+"""Maximum number of missing deltas that are sent; beyond it a host gets the whole
+view."""
 _COMPACT_EVERY = 500
-"""Deltas in the file after which the whole view is written instead."""
+"""Number of deltas in the file after which a snapshot of the view replaces them."""
 _encoder = msgspec.msgpack.Encoder()
 _log = get_logger("catalogue")
 _delta_decoder = msgspec.msgpack.Decoder(Delta)
@@ -30,16 +33,16 @@
 
 
 class HeldCatalogue:
-    """The newest catalogue that this host holds; durable where it has a data folder.
+    """The newest catalogue that this host holds, on disk if it has a data folder.
 
     Args:
-        folder: The data folder; None: nothing is kept over a restart.
+        folder: The data folder; None to keep the catalogue in memory only.
 
     Attributes:
-        cluster: The cluster it belongs to; empty: none yet.
+        cluster: The cluster it belongs to; empty before it has joined one.
         revision: Its newest revision.
         items: Its items; replaced, never changed in place.
-        durable: True where a restart finds it again; False once the disk failed.
+        durable: Whether it survives a restart; False once the disk has failed.
     """
 
     def __init__(self, folder: Path | None) -> None:
@@ -50,21 +53,21 @@
         self._log = RecordLog(folder, _NAME) if folder is not None else None
         self._snapshot = SnapshotFile(folder, _NAME) if folder is not None else None
         self._logged = 0
-        self._deltas: deque[Delta] = deque(maxlen=_DELTAS_KEPT)
+        self._deltas: deque[Delta] = deque(maxlen=_MAX_DELTAS)
         self._encoded: tuple[Revision, bytes] | None = None
 
     async def open(self) -> None:
-        """Read the files back.
+        """Load the catalogue from the files.
 
         Raises:
-            StorageError: They are damaged, or another process holds them.
+            StorageError: The files are damaged, or another process holds them.
         """
         if self._log is None:
             return
         records = await curio.run_in_thread(self._log.open)
         content = await curio.run_in_thread(self._snapshot.load)
         if content is not None:
-            self._take(_view_decoder.decode(content))
+            self._load(_view_decoder.decode(content))
         for record in records:
             delta = _delta_decoder.decode(record)
             if delta.revision == self.revision + 1:
@@ -77,11 +80,11 @@
             await curio.run_in_thread(self._log.close)
 
     async def join(self, cluster: ClusterId) -> None:
-        """Belong to a cluster from now on."""
+        """Join a cluster with an empty catalogue."""
         await self.replace(ViewSnapshot(cluster, Revision(0), []))
 
     async def advance(self, deltas: list[Delta]) -> bool:
-        """Apply those deltas that are new; False where one in between is missing."""
+        """Apply the new deltas; return False if a preceding delta is missing."""
         new = [delta for delta in deltas if delta.revision > self.revision]
         if not new:
             return True
@@ -89,27 +92,27 @@
             return False
         async with curio.disable_cancellation():
             records = [_encoder.encode(delta) for delta in new]
-            await self._keep(lambda: self._append(records))
+            await self._persist(lambda: self._append(records))
             for delta in new:
                 self._apply(delta)
             if self._logged >= _COMPACT_EVERY:
                 view = self._as_view()
-                await self._keep(lambda: self._write_whole(view))
+                await self._persist(lambda: self._write_snapshot(view))
         return True
 
     async def replace(self, view: ViewSnapshot) -> None:
-        """Take a whole view that is newer."""
+        """Replace the catalogue with a newer complete view."""
         async with curio.disable_cancellation():
-            await self._keep(lambda: self._write_whole(view))
-            self._take(view)
+            await self._persist(lambda: self._write_snapshot(view))
+            self._load(view)
             self._deltas.clear()
 
     def deltas_after(self, revision: Revision) -> list[Delta] | None:
-        """Return what follows a revision next; None where that is too far back."""
+        """Return the next deltas after a revision, or None if it is too far behind."""
         if revision >= self.revision:
             return []
         missing = self.revision - revision
-        if missing > min(len(self._deltas), _DELTAS_SENT):
+        if missing > min(len(self._deltas), _MAX_DELTAS_SENT):
             return None
         return first_batch(list(self._deltas)[-missing:])
 
@@ -128,35 +131,37 @@
         self.revision = delta.revision
         self._deltas.append(delta)
 
-    def _take(self, view: ViewSnapshot) -> None:
+    def _load(self, view: ViewSnapshot) -> None:
         self.cluster, self.revision = view.cluster, view.revision
         self.items = {item_key(item): item for item in view.items}
 
-    async def _keep(self, write: Callable[[], None]) -> None:
-        """Write to the disk, where there is one that works.
+    async def _persist(self, write: Callable[[], None]) -> None:
+        """Write to the disk, unless there is none or it has failed.
 
-        With a failed disk the host goes on like one without: it could serve no
-        change any more otherwise. What the disk holds is old from then on; the next
-        start asks the region before it serves on that.
+        After a disk failure the host continues without a disk, as it couldn't apply any
+        further change otherwise. The files are then out of date, so after the next
+        start the host polls its region before it uses them.
         """
         if not self.durable:
             return
         try:
             await curio.run_in_thread(write)
         except StorageError as exc:
-            _log.error("catalogue goes on without its disk", reason=str(exc))
+            _log.error(
+                "catalogue not written, continuing without disk", reason=str(exc)
+            )
             self.durable = False
 
     def _append(self, records: list[bytes]) -> None:
         self._log.append(records)
         self._logged += len(records)
 
-    def _write_whole(self, view: ViewSnapshot) -> None:
+    def _write_snapshot(self, view: ViewSnapshot) -> None:
         self._snapshot.save(_encoder.encode(view))
         self._log.rewrite([])
         self._logged = 0
 
 
 def decode_view(content: bytes) -> ViewSnapshot:
-    """Return the view that ``encoded_view`` gave."""
+    """Decode a view that ``encoded_view`` returned."""
     return _view_decoder.decode(zlib.decompress(content))
--- a/packages/node/src/bronzepoint_node/catalogue/_items.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_items.py
@@ -1,4 +1,4 @@
-"""Keys of catalogue items, and what differs between two versions of one."""
+"""Keys of catalogue items, and deltas between two versions of an item."""
 
 from typing import NamedTuple
 
@@ -22,7 +22,7 @@
 )
 from bronzepoint_schema.ids import Revision, TargetName
 
-_SPACES = {
+_NAMESPACES = {
     ItemKind.model: "entry",
     ItemKind.service: "entry",
     ItemKind.owner: "owner",
@@ -31,15 +31,15 @@
 
 
 class ItemKey(NamedTuple):
-    """Key of an item; models and services share their names, as callers see them."""
+    """Key of an item; models and services share one namespace, as callers see them."""
 
-    space: str
+    namespace: str
     name: str
 
     @classmethod
     def of(cls, kind: ItemKind, name: str) -> "ItemKey":
         """Return the key of an item of this kind and name."""
-        return cls(_SPACES[kind], str(name))
+        return cls(_NAMESPACES[kind], str(name))
 
 
 def item_key(item: CatalogueItem) -> ItemKey:
@@ -50,10 +50,10 @@
 def make_delta(
     revision: Revision, former: CatalogueItem | None, item: CatalogueItem
 ) -> Delta:
-    """Return what leads from the former item to the new one.
+    """Return the delta from the former item to the new one.
 
-    A model of the size to come has 1,800 targets, 200 KB: sent whole for each target
-    that comes or goes, it would alone take more than a host may spend on control.
+    A large model may have 1,800 targets, about 200 KB. Sending the whole item for each
+    added or removed target would exceed a host's budget for control traffic.
     """
     return Delta(revision, make_patch(former, item) or Put(item))
 
@@ -61,10 +61,10 @@
 def make_patch(
     former: CatalogueItem | None, item: CatalogueItem
 ) -> PatchTargets | None:
-    """Return what differs between two versions of an entry.
+    """Return the difference between two versions of an entry.
 
     Returns:
-        None where the whole item must be sent.
+        The patch, or None if the whole item must be sent.
     """
     if type(former) is not type(item) or isinstance(item, OwnerItem | ClassItem):
         return None
@@ -75,7 +75,7 @@
 def apply_delta(
     items: dict[ItemKey, CatalogueItem], delta: Delta
 ) -> dict[ItemKey, CatalogueItem]:
-    """Return the items after a delta; the ones given are left as they are."""
+    """Return a copy of the items with a delta applied."""
     items = dict(items)
     match delta.op:
         case Put(item=item):
@@ -102,7 +102,7 @@
 def patched(
     former: ModelEntry | ServiceEntry, patch: PatchTargets
 ) -> ModelEntry | ServiceEntry:
-    """Return the entry that a patch makes of the former one."""
+    """Return the former entry with a patch applied."""
     targets: dict[TargetName, Target] = {t.name: t for t in former.targets}
     for name in patch.removed:
         targets.pop(name, None)
--- a/packages/node/src/bronzepoint_node/catalogue/_neighbours.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_parent_selector.py
@@ -1,4 +1,4 @@
-"""Whom this host learns from, and which hosts share its region."""
+"""Selection of the hosts to poll for changes and of hosts in the same region."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -11,34 +11,37 @@
 from ._tree import LiveHost, parents
 
 SKIP_FOR = 5.0
-"""Seconds for which a parent that was silent or stale is not chosen again."""
+"""Seconds for which a parent that was unresponsive or stale isn't selected again."""
 _LIVE = "live"
-_SECONDS = 2
-"""Hosts asked for a second copy, in case one of them is about to fail."""
+_SECOND_COPIES = 2
+"""Number of hosts that get a second copy, in case one of them fails."""
 
 
-class Source(Protocol):
-    """What the catalogue asks of the agreement."""
+class AgreementSource(Protocol):
+    """Interface of the agreement to the catalogue."""
 
     def leader(self) -> HostName:
-        """Return the leader known here; empty: none."""
+        """Return the leader known to this host; empty if there is none."""
 
     def leader_age(self) -> float | None:
-        """Return the age of the leader's knowledge where this host leads."""
+        """Return the seconds since the leadership was confirmed.
+
+        Returns None if this host isn't the leader.
+        """
 
     def voters(self) -> list[HostName]:
         """Return the hosts that may vote."""
 
 
-class Neighbours:
-    """Chooses the hosts to ask for news.
+class ParentSelector:
+    """Selects the hosts to poll for changes.
 
     Args:
         settings: This host's settings.
         live_hosts: Returns the hosts that membership knows.
 
     Attributes:
-        parent: Host asked last; empty: none, or this host leads.
+        parent: Parent selected last; empty if there is none or this host leads.
     """
 
     def __init__(
@@ -48,53 +51,54 @@
         self._name = settings.host.name
         self._region = settings.host.region
         self._live_hosts = live_hosts
-        self._known = [
+        self._configured = [
             HostName(name)
             for name, peer in settings.peers.items()
             if peer.region == self._region
         ]
         self._skipped: dict[HostName, float] = {}
-        self._turn = 0
+        self._round = 0
 
     def of_region(self) -> list[HostName]:
         """Return the other hosts of the region, from the settings and membership."""
-        return sorted({*self._known, *self._live_of_region()} - {self._name})
+        return sorted({*self._configured, *self._live_of_region()} - {self._name})
 
-    def seconds(self) -> list[HostName]:
-        """Return the live hosts of the region to hold a second copy."""
+    def second_copy_hosts(self) -> list[HostName]:
+        """Return the live hosts of the region that should hold a second copy."""
         others = [h for h in self._live_of_region() if h != self._name]
-        return rendezvous_order(self._name, others)[:_SECONDS]
+        return rendezvous_order(self._name, others)[:_SECOND_COPIES]
 
     def skip(self, host: HostName) -> None:
-        """Leave a host out for a while: it was silent, or its knowledge too old."""
+        """Exclude a host for ``SKIP_FOR`` seconds, as it was unresponsive or stale."""
         self._skipped[host] = monotonic() + SKIP_FOR
 
-    def to_ask(self, source: Source, confirmed: bool) -> list[HostName]:
-        """Return the hosts to ask now.
+    def hosts_to_poll(self, source: AgreementSource, confirmed: bool) -> list[HostName]:
+        """Return the hosts to poll next.
 
         Args:
             source: The agreement.
-            confirmed: Whether the leader has confirmed the own view lately. While it
-                hasn't, each possible parent is asked in turn, and one host of the
-                region too, which may have learned something just before a cut.
+            confirmed: Whether the leader has recently confirmed this host's view. If
+                not, the possible parents are polled round robin, along with a host of
+                the region, which may have received changes just before a network
+                partition.
         """
         candidates = self._candidates(source)
         if not candidates:
             self.parent = HostName("")
             return []
         now = monotonic()
-        fresh = [c for c in candidates if self._skipped.get(c, 0.0) <= now]
-        self.parent = fresh[0] if fresh else candidates[0]
+        available = [c for c in candidates if self._skipped.get(c, 0.0) <= now]
+        self.parent = available[0] if available else candidates[0]
         if confirmed:
             return [self.parent]
-        self._turn += 1
-        chosen = [candidates[self._turn % len(candidates)]]
+        self._round += 1
+        chosen = [candidates[self._round % len(candidates)]]
         region = self.of_region()
         if region:
-            chosen.append(region[self._turn % len(region)])
+            chosen.append(region[self._round % len(region)])
         return chosen
 
-    def _candidates(self, source: Source) -> list[HostName]:
+    def _candidates(self, source: AgreementSource) -> list[HostName]:
         if source.leader_age() is not None:
             return []
         region = self._live_of_region()
--- a/packages/node/src/bronzepoint_node/catalogue/_poller.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_poller.py
@@ -1,4 +1,4 @@
-"""Asking other hosts what is new."""
+"""Polling of other hosts for catalogue changes."""
 
 from typing import TYPE_CHECKING
 
@@ -20,16 +20,18 @@
     from ._catalogue import Catalogue
 
 _TIMEOUT = 0.6
+"""Seconds to wait for the answer to a poll."""
 _VIEW_TIMEOUT = 10.0
+"""Seconds to wait for a whole view."""
 
 
 class Poller:
-    """Polls hosts and hands what they say to the catalogue.
+    """Polls hosts and applies their answers to the catalogue.
 
     Args:
         name: This host.
         peers: Links to the other hosts.
-        catalogue: Takes the answers.
+        catalogue: The catalogue to update.
     """
 
     def __init__(self, name: HostName, peers: Peers, catalogue: "Catalogue") -> None:
@@ -37,11 +39,11 @@
         self._peers = peers
         self._catalogue = catalogue
 
-    async def ask(self, host: HostName) -> PollReply | None:
-        """Ask one host until nothing more is to be had, and take in what it knows.
+    async def poll(self, host: HostName) -> PollReply | None:
+        """Poll one host until it has no more changes, and apply them.
 
         Returns:
-            Its last answer; None where there was none.
+            Its last answer, or None if it didn't answer.
         """
         while True:
             before = self._catalogue.held
@@ -51,33 +53,33 @@
             if not isinstance(reply, PollReply):
                 return None
             if reply.cluster:
-                await self._take(host, reply, sent_at)
-            # An answer holds a bounded batch: there may be more.
+                await self._apply(host, reply, sent_at)
+            # Each answer holds a batch of limited size, so there may be more.
             if not before < self._catalogue.held < reply.revision:
                 return reply
 
-    async def ask_all(self, hosts: list[HostName]) -> list[PollReply | None]:
-        """Ask several hosts at once; this one is left out."""
+    async def poll_all(self, hosts: list[HostName]) -> list[PollReply | None]:
+        """Poll several hosts concurrently, except this host."""
         async with curio.TaskGroup() as group:
             others = [host for host in hosts if host != self._name]
-            tasks = [await group.spawn(self.ask, host) for host in others]
+            tasks = [await group.spawn(self.poll, host) for host in others]
             await group.join()
             return [task.result for task in tasks]
 
-    async def _take(self, host: HostName, reply: PollReply, sent_at: float) -> None:
+    async def _apply(self, host: HostName, reply: PollReply, sent_at: float) -> None:
         catalogue = self._catalogue
         catalogue.note_copy(host, reply.cluster, reply.revision)
         if reply.too_far:
-            whole = await self._call(host, ViewRequest(), _VIEW_TIMEOUT)
-            if isinstance(whole, ViewReply) and whole.state:
-                await catalogue.replace(decode_view(whole.state))
+            full_view = await self._call(host, ViewRequest(), _VIEW_TIMEOUT)
+            if isinstance(full_view, ViewReply) and full_view.state:
+                await catalogue.replace(decode_view(full_view.state))
         else:
             await catalogue.advance(reply.cluster, reply.deltas)
         if reply.cluster != catalogue.cluster or catalogue.held < reply.revision:
             return
         if reply.age >= 0:
-            # The reply's age counts up to its sending; counting it from the request
-            # can only make the view look older than it is.
+            # The age refers to the time at which the reply was sent. Counting from the
+            # request can only overestimate the age of the view.
             catalogue.confirm(sent_at - reply.age)
 
     async def _call(
--- a/packages/node/src/bronzepoint_node/catalogue/_status.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_status.py
@@ -1,4 +1,4 @@
-"""What operators see of the catalogue on one host."""
+"""Catalogue status of one host for operators."""
 
 import msgspec
 
@@ -9,15 +9,15 @@
     """State of the catalogue on one host.
 
     Attributes:
-        cluster: The cluster; empty: none is known yet.
+        cluster: The cluster; empty if none is known yet.
         revision: Revision that requests are decided on.
         held: Newest revision that this host holds.
-        ready: False while nothing may be served.
-        confirmed_age: Seconds since the leader confirmed the view; -1: never yet.
-        within_bound: False: changes may be in force elsewhere and not here.
-        parent: Host that this one learns from; empty: none, or it leads.
-        children: Hosts that learn from this one.
-        foreign_cluster: Another cluster that a host answered with; empty: none.
+        ready: Whether requests may be served.
+        confirmed_age: Seconds since the leader confirmed the view; -1 if it never did.
+        within_bound: Whether all changes older than the bound are in effect here.
+        parent: Host that this one polls; empty if there is none or this host leads.
+        children: Number of hosts that poll this one.
+        foreign_cluster: Another cluster that a host reported; empty if there is none.
     """
 
     cluster: ClusterId
--- a/packages/node/src/bronzepoint_node/catalogue/_validation.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_validation.py
@@ -1,4 +1,4 @@
-"""Contradictions in a catalogue item, each with its remedy."""
+"""Validation of catalogue items, with a remedy for each problem."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -18,11 +18,12 @@
 
 _METHODS = {"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 _SAFE_METHODS = {"GET", "HEAD", "OPTIONS"}
-_MAX_NAME = 128
+_MAX_NAME_LENGTH = 128
+"""Maximum number of characters of a name."""
 
 
 def find_contradictions(item: CatalogueItem) -> list[str]:
-    """Return one sentence for each contradiction; none: the item may be served."""
+    """Return one sentence per problem; an empty list means the item is valid."""
     match item:
         case ModelEntry():
             found = [*_entry_problems(item)]
@@ -43,10 +44,14 @@
 def _name_problems(field: str, name: str) -> Iterator[str]:
     if not name:
         yield f"Its {field} is empty: give one."
-    elif len(name) > _MAX_NAME or not name.isprintable() or set(name) & set(" /?#"):
+    elif (
+        len(name) > _MAX_NAME_LENGTH
+        or not name.isprintable()
+        or set(name) & set(" /?#")
+    ):
         yield (
-            f"Its {field} {name[:_MAX_NAME]!r} can't stand in a path: use at most "
-            f"{_MAX_NAME} characters without blanks, '/', '?' and '#'."
+            f"Its {field} {name[:_MAX_NAME_LENGTH]!r} can't be part of a path: use at"
+            f" most {_MAX_NAME_LENGTH} characters without blanks, '/', '?' and '#'."
         )
 
 
@@ -73,14 +78,14 @@
     names = Counter(target.name for target in entry.targets)
     for name, count in names.items():
         if count > 1:
-            yield f"Target name {name} stands {count} times: rename all but one."
+            yield f"Target name {name} appears {count} times: rename all but one."
     addresses: Counter[str] = Counter(target.address for target in entry.targets)
     for address, count in addresses.items():
         if count > 1:
-            yield f"Address {address} stands {count} times: keep one target for it."
+            yield f"Address {address} appears {count} times: keep one target for it."
     for target in entry.targets:
         yield from _name_problems("target name", target.name)
-        yield from _place_problems(target, entry.residency)
+        yield from _region_problems(target, entry.residency)
         if not is_ip_address_and_port(target.address):
             yield (
                 f"Address {target.address!r} of target {target.name} is not host:port"
@@ -88,7 +93,7 @@
             )
 
 
-def _place_problems(target: Target, residency: Residency) -> Iterator[str]:
+def _region_problems(target: Target, residency: Residency) -> Iterator[str]:
     if residency.rule is not ResidencyRule.regions or not residency.regions:
         return
     if target.region not in residency.regions:
@@ -100,11 +105,11 @@
 
 def _route_problems(routes: list[Route]) -> Iterator[str]:
     if not routes:
-        yield "The service has no routes, so nothing could be called: add one."
+        yield "The service has no routes, so it can't be called: add one."
     seen: Counter[tuple[str, str]] = Counter((r.method, r.path) for r in routes)
     for (method, path), count in seen.items():
         if count > 1:
-            yield f"Route {method} {path} stands {count} times: keep one."
+            yield f"Route {method} {path} appears {count} times: keep one."
     for route in routes:
         if route.method not in _METHODS:
             yield (
@@ -121,10 +126,10 @@
 
 
 def is_ip_address_and_port(address: str) -> bool:
-    """Tell whether this is host:port with an IP number; IPv6 stands in brackets."""
+    """Return whether this is host:port with an IP address (IPv6 in brackets)."""
     try:
         _, port = split_address(address)
     except AddressError:
         return False
-    # Settings may leave a port to the system; a target has one.
+    # In settings, port 0 means any free port; a target needs a fixed one.
     return port > 0
--- a/packages/node/src/bronzepoint_node/catalogue/_view.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_view.py
@@ -1,4 +1,4 @@
-"""What this host serves on: its newest view of the catalogue."""
+"""The view of the catalogue that requests on this host are decided on."""
 
 from collections.abc import Callable, Iterable
 
@@ -19,15 +19,15 @@
 
 
 class CatalogueView:
-    """This host's newest view; it never goes back.
+    """This host's newest view; its revision never decreases.
 
     Args:
-        clock: Monotonic seconds.
+        clock: Returns monotonic seconds.
 
     Attributes:
         revision: Revision that requests are decided on.
-        ready: False until the view is known to be no older than any that this host
-            or its region has acknowledged; until then nothing may be served.
+        ready: Whether the view is known to be at least as new as any that this host or
+            its region has acknowledged. Until then, no requests may be served.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -51,7 +51,7 @@
         return self._items.get(ItemKey.of(ItemKind.class_, cls.value))
 
     def find(self, item: CatalogueItem) -> CatalogueItem | None:
-        """Return the version of an item that is in force here."""
+        """Return the current version of an item."""
         return self._items.get(item_key(item))
 
     def items(self) -> list[CatalogueItem]:
@@ -59,31 +59,31 @@
         return list(self._items.values())
 
     def confirmed_age(self) -> float:
-        """Return the seconds since the leader is known to have confirmed this view.
+        """Return the seconds since the leader last confirmed this view.
 
-        Infinite until the first confirmation after the start of the process.
+        Infinite before the first confirmation after the start of the process.
         """
         return max(0.0, self._clock() - self._confirmed_at)
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each new revision and when the view becomes ready."""
+        """Register a callback for new revisions and for the view becoming ready."""
         self._callbacks.append(callback)
 
     def show(
         self, revision: Revision, items: dict[ItemKey, CatalogueItem], ready: bool
     ) -> None:
-        """Take a newer state; for the package's own use."""
+        """Replace the view with a newer state; internal to the package."""
         if revision < self.revision or (self.ready and not ready):
-            raise ValueError(f"view at {self.revision} asked to go back to {revision}")
+            raise ValueError(f"view at {self.revision} can't go back to {revision}")
         changed = revision != self.revision or ready != self.ready
         self.revision, self._items, self.ready = revision, items, ready
         if changed:
-            self._call_back(self._callbacks)
+            self._run_callbacks(self._callbacks)
 
     def confirm(self, at: float) -> None:
-        """Note that the view was current at this time; for the package's own use."""
+        """Record that the view was current at this time; internal to the package."""
         self._confirmed_at = max(self._confirmed_at, at)
 
-    def _call_back(self, callbacks: Iterable[Callable[[], None]]) -> None:
+    def _run_callbacks(self, callbacks: Iterable[Callable[[], None]]) -> None:
         for callback in callbacks:
             callback()
--- a/tests/test_agreement_spread.py
+++ b/tests/test_agreement_spread.py
@@ -8,7 +8,7 @@
 from nose2.tools import params
 
 from bronzepoint_common.storage import StorageFailed
-from bronzepoint_node.catalogue._exposure import PATIENCE, Exposure
+from bronzepoint_node.catalogue._exposure import MAX_WAIT, Exposure
 from bronzepoint_node.catalogue._tree import parents
 from tests._agreement_cluster import Cluster, begin, remove_owner, run, until
 
@@ -235,6 +235,6 @@
     def test_alone_it_goes_on_after_a_while(self):
         exposure = Exposure()
         exposure.add(5, {}, now=0.0)
-        exposure.add(6, {}, now=PATIENCE / 2)
-        self.assertEqual(exposure.take(now=PATIENCE), (5, {}, True))
-        self.assertEqual(exposure.take(now=2 * PATIENCE), (6, {}, True))
+        exposure.add(6, {}, now=MAX_WAIT / 2)
+        self.assertEqual(exposure.take(now=MAX_WAIT), (5, {}, True))
+        self.assertEqual(exposure.take(now=2 * MAX_WAIT), (6, {}, True))
