--- a/packages/node/src/bronzepoint_node/core/__init__.py
+++ b/packages/node/src/bronzepoint_node/core/__init__.py
@@ -1,4 +1,4 @@
-"""What hosts of the core do for entry hosts: tell what is in force and listed."""
+"""Services of core hosts for entry hosts: catalogue, target list and scheduling."""
 
 from ._core_hub import CoreHub
 from ._quarantine_keeper import QuarantineKeeper
--- a/packages/node/src/bronzepoint_node/core/_core_hub.py
+++ b/packages/node/src/bronzepoint_node/core/_core_hub.py
@@ -1,4 +1,4 @@
-"""What a host of the core tells entry hosts, and what the core tells itself."""
+"""Synchronisation of a core host with entry hosts and with the other core hosts."""
 
 import curio
 
@@ -8,8 +8,8 @@
 from bronzepoint_common.peers import Area, Peers
 from bronzepoint_common.turns import take_turn
 from bronzepoint_node.agreement import SeededAgreement
-from bronzepoint_node.fleet import COLLECTOR_ORDER, MOST_CRASHES, Registry
-from bronzepoint_node.quarantine import SUSPECT_FROM, CrashTable
+from bronzepoint_node.fleet import COLLECTOR_ORDER, MAX_CRASH_CASES, Registry
+from bronzepoint_node.quarantine import MIN_CRASHES_SUSPECT, CrashTable
 from bronzepoint_schema.generated.documents import DocumentPart
 from bronzepoint_schema.generated.fleet import (
     CoreHost,
@@ -23,26 +23,26 @@
 from bronzepoint_schema.ids import HostName, RegionName
 
 from ._document_feed import DocumentFeed
-from ._hosts_for import HostOrders, hosts_for, ready_hosts
+from ._hosts_for import HostOrderCache, count_ready_hosts, visible_hosts
 from ._target_reader import TargetReader
 
 NOTICE_INTERVAL = 0.5
-"""Seconds between two notices to the other hosts of the core."""
-MOST_NOTICED = 32
-"""Requests that were beside crashes, in one notice."""
-MOST_NAMED = 20
-"""Hosts of the core named in one notice; more are named by turns."""
-FEW_HOSTS = 8
-"""Other hosts of the core up to which each is told that much."""
-SCHEDULERS_TOLD = 2
-"""Hosts of another region that are told at once how busy this one is: its scheduler,
-and the one that follows it."""
+"""Seconds between two notices to the other core hosts."""
+MAX_CASES_PER_NOTICE = 32
+"""Maximum number of crash cases in one notice."""
+MAX_HOSTS_PER_NOTICE = 20
+"""Maximum number of core hosts listed in one notice; more are listed round robin."""
+FULL_NOTICE_HOSTS = 8
+"""Number of other core hosts up to which each notice holds the full number of cases."""
+SCHEDULERS_NOTIFIED = 2
+"""Number of core hosts of each other region that get this region's load at once: the
+scheduler and its successor."""
 
 _log = get_logger("core")
 
 
 class CoreHub:
-    """Answers entry hosts, and exchanges with the core what each has heard.
+    """Answers syncs of entry hosts and exchanges notices with the other core hosts.
 
     Args:
         name: This host.
@@ -50,7 +50,7 @@
         agreement: The agreed document.
         reader: The list of targets.
         peers: Links to the other hosts.
-        crashes: Requests that were beside crashes of targets.
+        crashes: Requests involved in target crashes.
     """
 
     def __init__(
@@ -70,37 +70,37 @@
         self._reader = reader
         self._peers = peers
         self._feed = DocumentFeed()
-        self._orders = HostOrders()
-        self._core_orders = HostOrders()
-        self._own: set[HostName] = set()
+        self._orders = HostOrderCache()
+        self._core_orders = HostOrderCache()
+        self._syncing_hosts: set[HostName] = set()
         self._turn = 0
         self._task: curio.Task | None = None
         peers.register(Area.FLEET, FleetMessage, self._handle)
 
     async def start(self) -> None:
-        """Begin to exchange notices."""
-        self._task = await curio.spawn(self._notify, daemon=True)
+        """Start sending notices."""
+        self._task = await curio.spawn(self._send_notices, daemon=True)
 
     async def close(self) -> None:
-        """Stop exchanging notices."""
+        """Stop sending notices."""
         if self._task is not None:
             await self._task.cancel()
 
     def askers(self) -> list[HostName]:
-        """Return the entry hosts that ask this host."""
-        return [host.name for host in self._own_entries()]
+        """Return the entry hosts that sync with this host."""
+        return [host.name for host in self._syncing_entries()]
 
     def tell_loads(self, loads: list[RegionLoad]) -> None:
-        """Tell the other regions how busy this one is; where they send goes by that."""
+        """Send this region's load to the other regions, which forward accordingly."""
         self.registry.hear_loads(loads)
         notice = CoreNotice([], loads, [], [])
-        elsewhere: dict[RegionName, list[HostName]] = {}
+        remote_hosts: dict[RegionName, list[HostName]] = {}
         for host in self.registry.core():
             if host.region not in ("", self._region):
-                elsewhere.setdefault(host.region, []).append(host.name)
-        for region, hosts in elsewhere.items():
+                remote_hosts.setdefault(host.region, []).append(host.name)
+        for region, hosts in remote_hosts.items():
             order = self._core_orders.order(COLLECTOR_ORDER, region, hosts)
-            for name in order[:SCHEDULERS_TOLD]:
+            for name in order[:SCHEDULERS_NOTIFIED]:
                 self._peers.post(name, Area.FLEET, notice)
 
     async def _handle(
@@ -117,14 +117,14 @@
         return None
 
     def _answer(self, request: SyncRequest) -> SyncReply:
-        self._own.add(request.host.name)
+        self._syncing_hosts.add(request.host.name)
         self.registry.hear_entries([request.host])
         self.registry.hear_loads(request.loads)
         now = monotonic()
         self._crashes.merge(request.crashes, now)
         age = self._agreement.confirmed_age()
-        # Not confirmed, it may be older than what the asking host has served on
-        # before it was started anew, or than what other hosts serve on.
+        # An unconfirmed document may be older than the one that the entry host used
+        # before its restart, or than the one that other hosts use.
         version = self._agreement.documents.version if age is not None else NO_BASE
         live = self.registry.entries()
         return SyncReply(
@@ -133,14 +133,18 @@
             document_version=version,
             document=self._next_part(request) if age is not None else None,
             closed=sorted(self._agreement.closed),
-            targets=self._reader.tell(request.host.region, request.list_digest),
+            targets=self._reader.changes_since(
+                request.host.region, request.list_digest
+            ),
             targets_age_ms=self._reader.age_ms,
-            hosts=hosts_for(request.host, live, self._orders),
+            hosts=visible_hosts(request.host, live, self._orders),
             loads=self.registry.loads(),
             core=self._core(),
             entry_hosts=len(live),
-            region_hosts=ready_hosts(request.host.region, live),
-            crashes=self._crashes.share(now, MOST_CRASHES, SUSPECT_FROM),
+            region_hosts=count_ready_hosts(request.host.region, live),
+            crashes=self._crashes.select_cases(
+                now, MAX_CRASH_CASES, MIN_CRASHES_SUSPECT
+            ),
         )
 
     def _next_part(self, request: SyncRequest) -> DocumentPart | None:
@@ -157,41 +161,48 @@
         self.registry.hear_core([CoreHost(self._name, self._region, 0)])
         return self.registry.core()
 
-    async def _notify(self) -> None:
+    async def _send_notices(self) -> None:
         while True:
             core = self._core()
             hosts = {host.name for host in core} | self._agreement.known_hosts()
             hosts.discard(self._name)
-            notice = self._notice(core, len(hosts))
+            notice = self._build_notice(core, len(hosts))
             for host in hosts:
                 self._peers.post(host, Area.FLEET, notice)
             await curio.sleep(NOTICE_INTERVAL)
 
-    def _notice(self, core: list[CoreHost], others: int) -> CoreNotice:
-        """Return what the other hosts of the core are told.
+    def _build_notice(self, core: list[CoreHost], others: int) -> CoreNotice:
+        """Return the notice for the other core hosts.
 
-        Each of many is told less: it hears the same from all others, and what all tell
-        all grows with the square of their number.
+        With many core hosts each notice holds fewer cases: every host gets the same
+        cases from all others, and the traffic grows with the square of their number.
         """
-        cases = MOST_NOTICED * FEW_HOSTS // max(FEW_HOSTS, others)
+        cases = (
+            MAX_CASES_PER_NOTICE * FULL_NOTICE_HOSTS // max(FULL_NOTICE_HOSTS, others)
+        )
         return CoreNotice(
-            self._own_entries(),
+            self._syncing_entries(),
             self.registry.loads(),
-            self._named_next(core),
-            self._crashes.share(monotonic(), max(1, cases)),
+            self._next_core_hosts(core),
+            self._crashes.select_cases(monotonic(), max(1, cases)),
         )
 
-    def _named_next(self, core: list[CoreHost]) -> list[CoreHost]:
-        """Return this host and others of the core, by turns where they are many."""
-        if len(core) <= MOST_NAMED:
+    def _next_core_hosts(self, core: list[CoreHost]) -> list[CoreHost]:
+        """Return this host and other core hosts, round robin if there are many."""
+        if len(core) <= MAX_HOSTS_PER_NOTICE:
             return core
         others = [host for host in core if host.name != self._name]
-        named = take_turn(others, self._turn, MOST_NAMED - 1)
-        self._turn += len(named)
-        return [host for host in core if host.name == self._name] + named
-
-    def _own_entries(self) -> list[EntryHost]:
-        """Return the entry hosts that speak to this host: others tell of the rest."""
-        live = [host for host in self.registry.entries() if host.name in self._own]
-        self._own = {host.name for host in live}
+        next_hosts = take_turn(others, self._turn, MAX_HOSTS_PER_NOTICE - 1)
+        self._turn += len(next_hosts)
+        return [host for host in core if host.name == self._name] + next_hosts
+
+    def _syncing_entries(self) -> list[EntryHost]:
+        """Return the live entry hosts that sync with this host.
+
+        The other core hosts report the rest.
+        """
+        live = [
+            host for host in self.registry.entries() if host.name in self._syncing_hosts
+        ]
+        self._syncing_hosts = {host.name for host in live}
         return live
--- a/packages/node/src/bronzepoint_node/core/_document_feed.py
+++ b/packages/node/src/bronzepoint_node/core/_document_feed.py
@@ -1,4 +1,4 @@
-"""What entry hosts lack of the catalogue document, in parts of bounded size."""
+"""Transfer of the catalogue document to entry hosts in parts of bounded size."""
 
 from collections import OrderedDict
 
@@ -8,67 +8,69 @@
 from bronzepoint_schema.generated.documents import DocumentDelta, DocumentPart
 
 PART_BYTES = 32 * 1024
-"""Bytes of one part: 0.05 s of a link of 5 Mbit/s. An answer that takes longer than
-its timeout is dropped, and asked for again without end."""
-KEPT_FEEDS = 16
-"""Feeds that are kept, so that hosts that are in the middle of one can go on."""
+"""Bytes of one part, which takes 0.05 s on a link of 5 Mbit/s. A larger answer could
+exceed its timeout each time, be dropped and be requested again without end."""
+MAX_FEEDS = 16
+"""Maximum number of feeds kept, so that hosts can finish a transfer in progress."""
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 class DocumentFeed:
-    """Gives each host the next part of what leads from its version to a newer one.
+    """Serves each host the next part of the deltas from its version to a newer one.
 
-    A host that is a few versions behind gets their deltas, any other one the whole
-    document as it was a while ago and then the deltas since: one that is in the middle
-    of it must not begin anew with each change.
+    A host that is a few versions behind gets the missing deltas. Any other host gets a
+    whole document, possibly an older version, and then the deltas since. A change
+    therefore doesn't restart a transfer in progress.
     """
 
     def __init__(self) -> None:
         self._feeds: OrderedDict[tuple[int, int], bytes] = OrderedDict()
 
     def next_part(
-        self, documents: DocumentHistory, held: int, version: int, offset: int
+        self, documents: DocumentHistory, held_version: int, version: int, offset: int
     ) -> DocumentPart | None:
-        """Return a host's next part; None: it lacks nothing.
+        """Return the next part for a host, or None if it is up to date.
 
         Args:
-            documents: What is in force.
-            held: Version that the host holds.
-            version: Version that its parts lead to; -1: it has none.
-            offset: Bytes of parts that it has.
+            documents: History of the document in effect.
+            held_version: Version that the host holds.
+            version: Version that its current transfer leads to; -1 without a transfer.
+            offset: Bytes of the transfer that it has received.
         """
-        if held >= documents.version:
+        if held_version >= documents.version:
             return None
-        base = self._base_of(held, version)
+        base = self._find_base(held_version, version)
         if base is None:
-            base, version = self._begin(documents, held)
+            base, version = self._start_feed(documents, held_version)
             offset = 0
         self._feeds.move_to_end((base, version))
         feed = self._feeds[base, version]
         part = feed[offset : offset + PART_BYTES]
         return DocumentPart(version, base, len(feed), offset, part)
 
-    def _base_of(self, held: int, version: int) -> int | None:
-        """Return where the feed begins that a host is in the middle of; None: none."""
-        for base in (held, NO_BASE):
+    def _find_base(self, held_version: int, version: int) -> int | None:
+        """Return the base version of a host's current feed, or None without one."""
+        for base in (held_version, NO_BASE):
             if (base, version) in self._feeds:
                 return base
         return None
 
-    def _begin(self, documents: DocumentHistory, held: int) -> tuple[int, int]:
-        """Return where a feed for a host begins, and where it leads to."""
-        deltas = documents.since(held) if held != NO_BASE else None
+    def _start_feed(
+        self, documents: DocumentHistory, held_version: int
+    ) -> tuple[int, int]:
+        """Return the base and the final version of a feed for a host."""
+        deltas = documents.since(held_version) if held_version != NO_BASE else None
         if deltas is not None:
-            return held, self._keep(held, deltas)
+            return held_version, self._store(held_version, deltas)
         for base, version in self._feeds:
             if base == NO_BASE and documents.since(version) is not None:
                 return NO_BASE, version
-        return NO_BASE, self._keep(NO_BASE, [documents.whole()])
+        return NO_BASE, self._store(NO_BASE, [documents.whole()])
 
-    def _keep(self, base: int, deltas: list[DocumentDelta]) -> int:
+    def _store(self, base: int, deltas: list[DocumentDelta]) -> int:
         version = deltas[-1].version
         self._feeds[base, version] = _encoder.encode(deltas)
-        while len(self._feeds) > KEPT_FEEDS:
+        while len(self._feeds) > MAX_FEEDS:
             self._feeds.popitem(last=False)
         return version
--- a/packages/node/src/bronzepoint_node/core/_hosts_for.py
+++ b/packages/node/src/bronzepoint_node/core/_hosts_for.py
@@ -1,4 +1,4 @@
-"""Which of the live entry hosts one of them is told."""
+"""Selection of the live entry hosts that are reported to an entry host."""
 
 from collections.abc import Iterable
 
@@ -7,24 +7,23 @@
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState
 from bronzepoint_schema.ids import HostName, RegionName
 
-MOST_ELSEWHERE = 6
-"""Ready hosts told of each other region: a request is forwarded four times at most, and
-one of them may be dead."""
+MAX_READY_PER_REGION = 6
+"""Number of ready hosts reported for each other region. A request is forwarded at most
+four times, and one of the hosts may be dead."""
 
+MAX_LOCAL_HOSTS = 16
+"""Number of entry hosts in a region up to which each gets the full list of them."""
+LARGE_REGION_HOSTS = 8
+"""Number of hosts reported within a larger region, the same ones to all its hosts."""
+MAX_CACHED_ORDERS = 512
+"""Maximum number of cached orders; a core host answers fewer entry hosts than that."""
 
-MOST_NEAR = 16
-"""Entry hosts of a region up to which each is told all others of it."""
-NEAR_OF_MANY = 8
-"""Hosts that are told of a larger region, to all of it the same ones."""
-MOST_ORDERS = 512
-"""Orders kept; a host of the core answers fewer entry hosts than that."""
 
+class HostOrderCache:
+    """Caches the order in which hosts are reported to each requesting host.
 
-class HostOrders:
-    """Keeps the order in which each asking host is told of others.
-
-    Worked out anew for each answer, the orders took a host of the core the more time
-    the more hosts there were, and the more of them asked.
+    Without the cache, the time that a core host spends on ordering would grow with the
+    number of hosts for every answer.
     """
 
     def __init__(self) -> None:
@@ -35,58 +34,62 @@
     def order(
         self, key: str, region: RegionName, names: Iterable[HostName]
     ) -> list[HostName]:
-        """Return the names of a region's hosts, those told first at the front."""
+        """Return the names of a region's hosts in the order of ``key``."""
         wanted = frozenset(names)
-        kept = self._orders.get((key, region))
-        if kept is None or kept[0] != wanted:
-            if len(self._orders) >= MOST_ORDERS:
+        cached = self._orders.get((key, region))
+        if cached is None or cached[0] != wanted:
+            if len(self._orders) >= MAX_CACHED_ORDERS:
                 self._orders.clear()
-            kept = (wanted, rendezvous_order(key, wanted))
-            self._orders[key, region] = kept
-        return kept[1]
+            cached = (wanted, rendezvous_order(key, wanted))
+            self._orders[key, region] = cached
+        return cached[1]
 
 
-def hosts_for(
-    asking: EntryHost, live: list[EntryHost], orders: HostOrders | None = None
+def visible_hosts(
+    requester: EntryHost, live: list[EntryHost], orders: HostOrderCache | None = None
 ) -> list[EntryHost]:
-    """Return hosts of the asking one's region, and a few of each other region.
+    """Return the hosts of the requester's region and a few of each other region.
 
-    A few of a large region are enough: those that would add up its loads and choose its
-    targets if no host of the core did.
+    In a large region, only those are returned that would collect its loads and choose
+    its targets if no core host did.
 
-    Told all, a host would hear the more the larger the fleet is. The few are the same
-    each time, or it would take a host for lost that was only not mentioned lately; and
-    they differ between the asking hosts, so that forwarded requests spread over all.
+    The limits keep answers from growing with the fleet. The selection for a requester
+    is stable, since a host that is missing from the answers would count as lost. It
+    differs between requesters, so that forwarded requests spread over all hosts.
 
     Args:
-        asking: The host that is told.
-        live: All entry hosts that live.
-        orders: Orders worked out before; None: there are none.
+        requester: The requesting host.
+        live: All live entry hosts.
+        orders: Cached orders; None to compute them.
     """
-    orders = orders or HostOrders()
-    near = [host for host in live if host.region == asking.region]
-    told = near if len(near) <= MOST_NEAR else _first_collectors(near, orders)
-    elsewhere: dict[RegionName, dict[HostName, EntryHost]] = {}
+    orders = orders or HostOrderCache()
+    local = [host for host in live if host.region == requester.region]
+    visible = (
+        local if len(local) <= MAX_LOCAL_HOSTS else _first_collectors(local, orders)
+    )
+    remote: dict[RegionName, dict[HostName, EntryHost]] = {}
     for host in live:
-        if host.region != asking.region:
-            elsewhere.setdefault(host.region, {})[host.name] = host
-    for region, hosts in elsewhere.items():
-        order = orders.order(asking.name, region, hosts)
-        told += _first_ready([hosts[name] for name in order], MOST_ELSEWHERE)
-    return told
+        if host.region != requester.region:
+            remote.setdefault(host.region, {})[host.name] = host
+    for region, hosts in remote.items():
+        order = orders.order(requester.name, region, hosts)
+        visible += _first_ready([hosts[name] for name in order], MAX_READY_PER_REGION)
+    return visible
 
 
-def _first_collectors(near: list[EntryHost], orders: HostOrders) -> list[EntryHost]:
-    """Return the hosts of a region that come first as collectors of its loads."""
-    hosts = {host.name: host for host in near}
-    order = orders.order(COLLECTOR_ORDER, near[0].region, hosts)
-    return _first_ready([hosts[name] for name in order], NEAR_OF_MANY)
+def _first_collectors(
+    local: list[EntryHost], orders: HostOrderCache
+) -> list[EntryHost]:
+    """Return the first candidates of a region for the collector of its loads."""
+    hosts = {host.name: host for host in local}
+    order = orders.order(COLLECTOR_ORDER, local[0].region, hosts)
+    return _first_ready([hosts[name] for name in order], LARGE_REGION_HOSTS)
 
 
 def _first_ready(hosts: list[EntryHost], wanted: int) -> list[EntryHost]:
-    """Return hosts up to the last of the wanted ready ones.
+    """Return the first hosts that include the wanted number of ready ones.
 
-    Those that leave stay among them: no longer named, a host counts as lost, and the
+    Leaving hosts stay in the result: a host that is missing counts as lost, and the
     requests that it still works on would be sent elsewhere again.
     """
     ready = 0
@@ -97,6 +100,6 @@
     return hosts
 
 
-def ready_hosts(region: RegionName, live: list[EntryHost]) -> int:
-    """Return how many hosts of a region take requests."""
+def count_ready_hosts(region: RegionName, live: list[EntryHost]) -> int:
+    """Return how many entry hosts of a region accept requests."""
     return sum(h.region == region and h.state is EntryState.ready for h in live)
--- a/packages/node/src/bronzepoint_node/core/_quarantine_keeper.py
+++ b/packages/node/src/bronzepoint_node/core/_quarantine_keeper.py
@@ -1,4 +1,4 @@
-"""What a host of the core does for requests that were beside crashes of targets."""
+"""Crash records, trial permits and quarantine administration on a core host."""
 
 import time
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 from bronzepoint_common.peers import Area, Peers
 from bronzepoint_common.storage import SnapshotFile, StorageError
 from bronzepoint_node.quarantine import (
-    KEPT,
-    SUSPECT_FROM,
-    Case,
+    MIN_CRASHES_SUSPECT,
+    RETENTION,
     CrashTable,
     Standing,
+    SuspectRecord,
     is_any_caller,
 )
 from bronzepoint_schema.generated.admin import QuarantinedCrash, QuarantinedRequest
@@ -33,96 +33,104 @@
 from ._trial_permits import TrialPermits
 
 SAVE_INTERVAL = 0.5
-"""Seconds between two looks whether there is anything new to keep."""
-MOST_PUSHED = 16
-"""Requests that entry hosts are told of without their asking."""
+"""Seconds between two checks for changes to save."""
+MAX_CASES_PER_PUSH = 16
+"""Maximum number of records in one push to entry hosts."""
 
 _log = get_logger("quarantine")
 
 
 class QuarantineKeeper:
-    """Hears of crashes from all hosts, permits trials, and keeps it on disk.
+    """Collects crash reports of all hosts, grants trial permits and saves the records.
 
-    After a kill of everything no host would know of a request that crashes targets, and
-    its caller would go on to ask.
+    The records are saved to disk because otherwise, after a restart of all hosts, a
+    harmful request that its caller repeats would crash targets again.
 
     Args:
         peers: Links to the other hosts.
-        folder: Where the file goes.
-        askers: Gives the entry hosts that ask this host.
+        folder: Folder of the snapshot file.
+        syncing_hosts: Returns the entry hosts that sync with this host.
 
     Attributes:
-        table: What is known of crashes.
+        table: Known crashes.
     """
 
     def __init__(
-        self, peers: Peers, folder: Path, askers: Callable[[], list[HostName]]
+        self, peers: Peers, folder: Path, syncing_hosts: Callable[[], list[HostName]]
     ) -> None:
         self.table = CrashTable(self._push)
         self._peers = peers
-        self._askers = askers
+        self._syncing_hosts = syncing_hosts
         self._file = SnapshotFile(folder, "quarantine")
         self._permits = TrialPermits()
-        self._kept: list[tuple] = []
+        self._saved: list[tuple] = []
         self._task: curio.Task | None = None
         peers.register(Area.QUARANTINE, QuarantineMessage, self._handle)
 
     async def start(self) -> None:
-        """Read what was kept, and begin to keep."""
+        """Load the saved records and start saving changes."""
         await self._load()
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
-        """Stop keeping."""
+        """Stop saving."""
         if self._task is not None:
             await self._task.cancel()
 
     def listed(self) -> list[QuarantinedRequest]:
-        """Return what isn't clear, the strictest standing first."""
+        """Return all requests that aren't clear, the strictest standing first."""
         now = monotonic()
-        found = [
-            (standing, case)
-            for case in self.table.cases(SUSPECT_FROM)
-            if (standing := self.table.standing(case.fingerprint))
+        restricted = [
+            (standing, record)
+            for record in self.table.records(MIN_CRASHES_SUSPECT)
+            if (standing := self.table.standing(record.fingerprint))
+        ]
+        restricted.sort(key=lambda each: (-each[0], -each[1].last_crash_at))
+        return [
+            self._describe(record, standing, now) for standing, record in restricted
         ]
-        found.sort(key=lambda each: (-each[0], -each[1].newest))
-        return [self._describe(case, standing, now) for standing, case in found]
 
     def _describe(
-        self, case: Case, standing: Standing, now: float
+        self, record: SuspectRecord, standing: Standing, now: float
     ) -> QuarantinedRequest:
         return QuarantinedRequest(
-            fingerprint=case.fingerprint,
-            service=case.service,
+            fingerprint=record.fingerprint,
+            service=record.service,
             standing=standing.name.lower(),
-            seconds_left=round(self.table.held_for(case.fingerprint, now), 1),
+            seconds_left=round(self.table.blocked_for(record.fingerprint, now), 1),
             crashes=[
-                QuarantinedCrash(name, round(now - mark.at, 1), mark.early, mark.alone)
-                for name, mark in case.open_marks.items()
+                QuarantinedCrash(
+                    target, round(now - crash.at, 1), crash.early, crash.alone
+                )
+                for target, crash in record.active_crash_records.items()
             ],
         )
 
-    def release(self, name: Fingerprint) -> bool:
-        """Let a request be sent on as any other; False: nothing holds it."""
-        case = self.table.case(name)
-        names = [name, *self._same_of_any_caller(case)] if case is not None else [name]
-        for each in names:
-            self._permits.forget(each)
-        # A crash that was heard of after a release holds nothing back by itself.
-        released = any(self.table.standing(each) for each in names)
+    def release(self, fingerprint: Fingerprint) -> bool:
+        """Clear a request; return whether it had been restricted."""
+        record = self.table.record(fingerprint)
+        fingerprints = (
+            [fingerprint, *self._any_caller_fingerprints(record)]
+            if record is not None
+            else [fingerprint]
+        )
+        for each in fingerprints:
+            self._permits.reset(each)
+        # A single crash reported after a release doesn't restrict the request again.
+        released = any(self.table.standing(each) for each in fingerprints)
         now = monotonic()
-        for each in names:
+        for each in fingerprints:
             self.table.clear(each, now)
-        _log.info("request released", fingerprint=name, released=released)
+        _log.info("request released", fingerprint=fingerprint, released=released)
         return released
 
-    def _same_of_any_caller(self, case: Case) -> list[Fingerprint]:
-        """Return the names without the caller by which the same crashes count."""
+    def _any_caller_fingerprints(self, record: SuspectRecord) -> list[Fingerprint]:
+        """Return the fingerprints without caller that share all crashes of a record."""
         return [
             other.fingerprint
-            for other in self.table.cases(SUSPECT_FROM)
+            for other in self.table.records(MIN_CRASHES_SUSPECT)
             if is_any_caller(other.fingerprint)
-            and case.marks.keys() <= other.marks.keys()
+            and record.crash_records.keys() <= other.crash_records.keys()
         ]
 
     async def _handle(
@@ -131,30 +139,32 @@
         match message:
             case CrashNotice(cases=cases):
                 self.table.merge(cases, monotonic())
-            case TrialRequest(fingerprint=name):
-                return self._answer_trial(name)
+            case TrialRequest(fingerprint=fingerprint):
+                return self._answer_trial(fingerprint)
         return None
 
-    def _push(self, changed: list[Case]) -> None:
-        """Tell the entry hosts that ask this host what is treated in another way.
+    def _push(self, changed: list[SuspectRecord]) -> None:
+        """Send records with a changed standing to the entry hosts that sync here.
 
-        A request that crashes targets comes again at once: until an entry host asks
-        again by itself, it would send it to another one.
+        A harmful request is usually repeated at once, and an entry host would send it
+        to another target before its next sync.
         """
         now = monotonic()
-        notice = CrashNotice([case.tell(now) for case in changed[:MOST_PUSHED]])
-        for host in self._askers():
+        notice = CrashNotice(
+            [record.to_message(now) for record in changed[:MAX_CASES_PER_PUSH]]
+        )
+        for host in self._syncing_hosts():
             self._peers.post(host, Area.QUARANTINE, notice)
 
-    def _answer_trial(self, name: Fingerprint) -> TrialReply:
+    def _answer_trial(self, fingerprint: Fingerprint) -> TrialReply:
         now = monotonic()
-        case = self.table.case(name)
-        # Answered since, it is clear, and the asking host has not heard of it yet.
-        is_clear = case is not None and not case.open_marks
-        if is_clear or self._permits.take(name, now):
+        record = self.table.record(fingerprint)
+        # The request was answered and cleared since; the entry host doesn't know yet.
+        is_clear = record is not None and not record.active_crash_records
+        if is_clear or self._permits.grant(fingerprint, now):
             return TrialReply(True, 0)
-        left = min(self._permits.seconds_left(name, now), KEPT)
-        return TrialReply(False, int(left * 1000))
+        time_left = min(self._permits.seconds_left(fingerprint, now), RETENTION)
+        return TrialReply(False, int(time_left * 1000))
 
     async def _run(self) -> None:
         while True:
@@ -163,39 +173,39 @@
             await self._save()
 
     async def _save(self) -> None:
-        cases = self.table.cases(SUSPECT_FROM)
+        records = self.table.records(MIN_CRASHES_SUSPECT)
         state = [
-            (case.fingerprint, name, mark.early, mark.alone, mark.cleared)
-            for case in cases
-            for name, mark in case.marks.items()
+            (record.fingerprint, target, crash.early, crash.alone, crash.cleared)
+            for record in records
+            for target, crash in record.crash_records.items()
         ]
-        if state == self._kept:
+        if state == self._saved:
             return
         now = monotonic()
         content = msgspec.json.encode(
-            KeptCases(time.time(), [case.tell(now) for case in cases])
+            KeptCases(time.time(), [record.to_message(now) for record in records])
         )
         try:
             await curio.run_in_thread(self._file.save, content)
         except StorageError as exc:
-            # It is known in memory, and on the other hosts.
+            # The records remain in memory and on the other core hosts.
             _log.warning("quarantine not kept", reason=str(exc))
-        self._kept = state
+        self._saved = state
 
     async def _load(self) -> None:
         try:
             content = await curio.run_in_thread(self._file.load)
-            kept = msgspec.json.decode(content, type=KeptCases) if content else None
+            saved = msgspec.json.decode(content, type=KeptCases) if content else None
         except (StorageError, msgspec.MsgspecError) as exc:
             _log.warning("quarantine not read", reason=str(exc))
             return
-        if kept is not None:
-            # The time of day may have been set meanwhile.
-            passed = min(max(0.0, time.time() - kept.saved_at), KEPT)
-            self.table.merge(_older(kept.cases, passed), monotonic())
+        if saved is not None:
+            # The wall clock may have been adjusted since the file was saved.
+            passed = min(max(0.0, time.time() - saved.saved_at), RETENTION)
+            self.table.merge(_add_age(saved.cases, passed), monotonic())
 
 
-def _older(cases: list[CrashCase], seconds: float) -> list[CrashCase]:
+def _add_age(cases: list[CrashCase], seconds: float) -> list[CrashCase]:
     for case in cases:
         for mark in case.marks:
             mark.age_ms += int(seconds * 1000)
--- a/packages/node/src/bronzepoint_node/core/_region_scheduler.py
+++ b/packages/node/src/bronzepoint_node/core/_region_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of a region, on a host of the core."""
+"""The scheduler of a region, on a core host."""
 
 import random
 from collections.abc import Callable
@@ -26,15 +26,15 @@
 from ._target_reader import Reading
 
 UPDATE_INTERVAL = 0.1
-"""Seconds between two looks at the list of targets and at the catalogue, and between
-two words to other regions."""
+"""Seconds between two updates from the target list and the catalogue, and between two
+load reports to other regions."""
 
 
 class RegionScheduler:
     """Chooses targets for the entry hosts of a region that report to this host.
 
-    Entry hosts may have narrow links, and callers' prompts fill these for a while: an
-    answer of a scheduler among them waits behind that. Hosts of the core have no
+    The scheduler runs on a core host because entry hosts may have narrow links that
+    callers' prompts fill for a while, which would delay its answers. Core hosts have no
     callers.
 
     Args:
@@ -42,11 +42,11 @@
         region: Its region.
         zones: Region of each data center.
         peers: Links to the other hosts.
-        registry: Who lives, and how busy other regions are.
-        tell_loads: Tells the other regions how busy this one is.
-        listed: Gives the newest list of targets.
-        served: Gives the catalogue in force, and the closed data centers.
-        read: Asks an engine for its report.
+        registry: Live hosts and the loads of other regions.
+        report_loads: Sends this region's loads to the other regions.
+        listed: Returns the newest list of targets.
+        served: Returns the catalogue in effect and the closed data centers.
+        read: Requests the load report of an engine.
         metrics: Counters.
     """
 
@@ -57,7 +57,7 @@
         zones: dict[DataCenterName, RegionName],
         peers: Peers,
         registry: Registry,
-        tell_loads: Callable[[list[RegionLoad]], None],
+        report_loads: Callable[[list[RegionLoad]], None],
         listed: Callable[[], Reading | None],
         served: Callable[[], tuple[ServedCatalogue | None, frozenset[DataCenterName]]],
         read: ReadReport,
@@ -65,22 +65,31 @@
     ) -> None:
         self._region = region
         self._zones = zones
-        self._tell_loads = tell_loads
+        self._report_loads = report_loads
         self._listed = listed
         self._served = served
         self._table = TargetTable()
-        cold = ColdGate(name)
+        cold_limiter = ColdGate(name)
         self._placer = Placer(
-            region, self._table, registry, cold, random.Random(name), lambda: [name]
+            region,
+            self._table,
+            registry,
+            cold_limiter,
+            random.Random(name),
+            lambda: [name],
         )
-        # It has no callers, so there is nobody whom it tells of requests of its own.
+        # A core host has no callers, so it has no requests of its own to report.
         reservations = Reservations()
         self._exchange = LoadExchange(
             name, peers, self._table, self._placer.speeds, reservations, lambda: []
         )
-        self._prober = Prober(self._table, read, self._askers)
+        self._prober = Prober(self._table, read, self._prober_count)
         scheduler = Scheduler(
-            name, self._placer.home, cold, reservations, self._exchange.known_age
+            name,
+            self._placer.home,
+            cold_limiter,
+            reservations,
+            self._exchange.known_age,
         )
         self._answers = SchedulerClient(
             peers,
@@ -94,20 +103,20 @@
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to answer."""
+        """Start answering entry hosts."""
         self._task = await curio.spawn(self._run, daemon=True)
         await self._exchange.start()
         await self._prober.start()
 
     async def close(self) -> None:
-        """Stop answering."""
+        """Stop answering entry hosts."""
         if self._task is not None:
             await self._task.cancel()
         await self._answers.close()
         await self._prober.close()
         await self._exchange.close()
 
-    def _askers(self) -> int:
+    def _prober_count(self) -> int:
         return 1 if self._exchange.has_members(monotonic()) else 0
 
     async def _run(self) -> None:
@@ -115,7 +124,7 @@
             now = monotonic()
             self._update()
             if self._exchange.has_members(now):
-                self._tell_loads(self._placer.region_loads(now))
+                self._report_loads(self._placer.region_loads(now))
             await curio.sleep(UPDATE_INTERVAL)
 
     def _update(self) -> None:
@@ -124,7 +133,7 @@
         catalogue, closed = self._served()
         if listed is None or catalogue is None:
             return
-        own = [
+        local = [
             t for t in listed.targets if self._zones.get(t.data_center) == self._region
         ]
-        self._table.update(own, listed.age, catalogue.services, closed, now)
+        self._table.update(local, listed.age, catalogue.services, closed, now)
--- a/packages/node/src/bronzepoint_node/core/_target_reader.py
+++ b/packages/node/src/bronzepoint_node/core/_target_reader.py
@@ -1,4 +1,4 @@
-"""Reading the platform's list of targets, on the hosts of the core."""
+"""Periodic reading of the platform's target list on a core host."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -12,24 +12,25 @@
 from bronzepoint_schema.generated.fleet import TargetInfo, TargetList
 from bronzepoint_schema.ids import DataCenterName, RegionName
 
-from ._target_listing import TargetListing, content_digest, lasting
+from ._target_listing import TargetListing, content_digest, without_countdown
 
 ReadList = Callable[[], Awaitable[list[TargetInfo]]]
-"""Reads the whole list; raises ListUnavailable."""
+"""Reads the whole list; raises ListUnavailable if that fails."""
 
 READ_INTERVAL = 1.0
-"""Seconds between two readings. Five hosts of the core make five of the 47 calls a
-second that the platform grants; a leaving target is known after 1 s and its lag."""
+"""Seconds between two readings. Five core hosts then make five of the 47 calls a second
+that the platform allows; a leaving target is known after 1 s plus the list's lag."""
 
 _log = get_logger("targets")
 
 
 @dataclass(frozen=True)
 class Reading:
-    """The whole list as it was read.
+    """One reading of the whole list.
 
     Attributes:
-        age: Seconds since the reading was begun.
+        targets: All targets of the list.
+        age: Seconds since the list was requested.
     """
 
     targets: list[TargetInfo]
@@ -37,15 +38,15 @@
 
 
 class ListUnavailable(Exception):
-    """The platform's list can't be read now; the message says why."""
+    """The platform's target list can't be read; the message gives the reason."""
 
 
 class TargetReader:
-    """Keeps the newest reading of the list.
+    """Reads the list periodically and keeps the newest reading.
 
     Args:
         read: Reads the list.
-        region_of: Gives the region of a data center; None: it isn't known.
+        region_of: Returns the region of a data center, or None if it is unknown.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to read."""
+        """Start reading."""
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
@@ -70,28 +71,28 @@
             await self._task.cancel()
 
     def newest(self) -> Reading | None:
-        """Return the newest reading; None: none succeeded yet."""
+        """Return the newest reading, or None if none has succeeded yet."""
         if self._targets is None:
             return None
         return Reading(self._targets, monotonic() - self._read_at)
 
     @property
     def age_ms(self) -> int:
-        """Return the milliseconds since the newest reading; -1: there is none."""
+        """Milliseconds since the newest reading; -1 if there is none."""
         if self._targets is None:
             return -1
         return int((monotonic() - self._read_at) * 1000)
 
-    def tell(self, region: RegionName, known: str) -> TargetList | None:
-        """Return what a host doesn't know of its region's targets; None: nothing.
+    def changes_since(self, region: RegionName, known: str) -> TargetList | None:
+        """Return the changes to a region's targets that a host lacks, or None.
 
         Args:
             region: Region of the host.
-            known: Digest of the content that it holds; empty: none.
+            known: Digest of the list that the host holds; empty if it holds none.
         """
         if self._targets is None:
             return None
-        return self._listing.tell(region, known, self.age_ms)
+        return self._listing.changes_since(region, known, self.age_ms)
 
     async def _run(self) -> None:
         while True:
@@ -101,20 +102,20 @@
             except ListUnavailable as exc:
                 _log.warning("list not read", reason=str(exc))
             else:
-                self._take(_cold_since(targets, monotonic() - began), began)
-            # Spread, so that the hosts of the core don't ask at the same moment.
+                self._update(_cold_from_request(targets, monotonic() - began), began)
+            # Jitter keeps the core hosts from reading at the same moment.
             await curio.sleep(READ_INTERVAL * random.uniform(0.9, 1.1))
 
-    def _take(self, targets: list[TargetInfo], began: float) -> None:
+    def _update(self, targets: list[TargetInfo], began: float) -> None:
         self._read_at = began
         digest = content_digest(targets)
         if digest != self._digest:
-            self._tell_changes(targets)
-            self._listing.take(targets)
+            self._log_changes(targets)
+            self._listing.update(targets)
             self._digest = digest
         self._targets = targets
 
-    def _tell_changes(self, targets: list[TargetInfo]) -> None:
+    def _log_changes(self, targets: list[TargetInfo]) -> None:
         former = {t.incarnation: t for t in self._targets or []}
         present = {t.incarnation: t for t in targets}
         _log.info(
@@ -125,21 +126,22 @@
                 f"{t.incarnation}@{t.address} {t.service}"
                 f"{' leaving' if t.leaving else ''} cold {t.cold_ms} ms"
                 for name, t in sorted(present.items())
-                if name not in former or lasting(t) != lasting(former[name])
+                if name not in former
+                or without_countdown(t) != without_countdown(former[name])
             ],
         )
 
 
-def _cold_since(targets: list[TargetInfo], elapsed: float) -> list[TargetInfo]:
-    """Return the targets with their cold time counted from the asking.
+def _cold_from_request(targets: list[TargetInfo], elapsed: float) -> list[TargetInfo]:
+    """Return the targets with their cold time counted from the request.
 
-    The list says how long a target stays cold from its answer on. Counted from the
-    question, an answer that was held up on its way makes cold targets warm too early,
-    and they crash under what they then get.
+    The list gives the cold time that remains when it is sent, but a reading's age
+    counts from the request. Without this correction, a delayed answer would make cold
+    targets count as warm too early, and they would crash under the load.
     """
-    late = int(elapsed * 1000)
+    delay_ms = int(elapsed * 1000)
     return [
-        msgspec.structs.replace(target, cold_ms=target.cold_ms + late)
+        msgspec.structs.replace(target, cold_ms=target.cold_ms + delay_ms)
         if target.cold_ms > 0
         else target
         for target in targets
--- a/packages/node/src/bronzepoint_node/core/_trial_permits.py
+++ b/packages/node/src/bronzepoint_node/core/_trial_permits.py
@@ -1,37 +1,39 @@
-"""Permits to try a doubtful request, over all hosts."""
+"""System-wide permits for trials of doubtful requests."""
 
-from bronzepoint_node.quarantine import KEPT
+from bronzepoint_node.quarantine import RETENTION
 from bronzepoint_schema.ids import Fingerprint
 
 
 class TrialPermits:
-    """Permits one trial of each request.
+    """Grants one permit per request.
 
-    Each host alone could count only its own, and a caller goes from host to host. All
-    ask the same host of the core about one request; where they don't agree on it, as
-    while the core is cut, each of those that are asked permits one.
+    Entry hosts can't limit trials on their own, as a caller may use any of them. All of
+    them ask the same core host about one request. If they choose different core hosts,
+    such as during a network partition, each of these grants one permit.
     """
 
     def __init__(self) -> None:
-        self._given_at: dict[Fingerprint, float] = {}
+        self._granted_at: dict[Fingerprint, float] = {}
 
-    def take(self, name: Fingerprint, now: float) -> bool:
-        """Permit a trial; False: one was permitted before."""
-        self._forget(now)
-        if name in self._given_at:
+    def grant(self, fingerprint: Fingerprint, now: float) -> bool:
+        """Grant a permit; return False if one was granted before."""
+        self._expire(now)
+        if fingerprint in self._granted_at:
             return False
-        self._given_at[name] = now
+        self._granted_at[fingerprint] = now
         return True
 
-    def seconds_left(self, name: Fingerprint, now: float) -> float:
-        """Return the seconds until one may be permitted again."""
-        return max(0.0, self._given_at.get(name, now - KEPT) + KEPT - now)
+    def seconds_left(self, fingerprint: Fingerprint, now: float) -> float:
+        """Return the seconds until a new permit may be granted."""
+        return max(
+            0.0, self._granted_at.get(fingerprint, now - RETENTION) + RETENTION - now
+        )
 
-    def forget(self, name: Fingerprint) -> None:
-        """Begin anew with a request that was cleared."""
-        self._given_at.pop(name, None)
+    def reset(self, fingerprint: Fingerprint) -> None:
+        """Reset the permit of a request that was cleared."""
+        self._granted_at.pop(fingerprint, None)
 
-    def _forget(self, now: float) -> None:
-        for name, at in list(self._given_at.items()):
-            if now - at > KEPT:
-                del self._given_at[name]
+    def _expire(self, now: float) -> None:
+        for fingerprint, at in list(self._granted_at.items()):
+            if now - at > RETENTION:
+                del self._granted_at[fingerprint]
--- a/packages/node/src/bronzepoint_node/fleet/__init__.py
+++ b/packages/node/src/bronzepoint_node/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""What the hosts of a seeded system know of each other, of targets and of loads."""
+"""State shared by the hosts of a seeded system: hosts, catalogue, targets and loads."""
 
-from ._follower import MOST_CRASHES, Follower
+from ._follower import MAX_CRASH_CASES, Follower
 from ._nearest_core import nearest_core
 from ._organisation import Organisation, Quota, digest_key, shown_digest
 from ._registry import (
@@ -25,7 +25,7 @@
     "ENTRY_EXPIRY",
     "LAST_RESORT",
     "LOAD_EXPIRY",
-    "MOST_CRASHES",
+    "MAX_CRASH_CASES",
     "CallerLimits",
     "EngineFacts",
     "Follower",
--- a/packages/node/src/bronzepoint_node/fleet/_document_copy.py
+++ b/packages/node/src/bronzepoint_node/fleet/_document_copy.py
@@ -15,19 +15,19 @@
 from ._document_transfer import DocumentTransfer
 
 NO_PART = -1
-"""Offset that says that no part is wanted."""
+"""Offset that requests no part."""
 
 _log = get_logger("follower")
 
 
 class DocumentCopy:
-    """The document as far as it has come, and the parts of what is still lacking.
+    """The document that is held, and the transfer of a newer version.
 
-    One host of the core sends the parts. Sent by all that are asked at a start, they
-    would take up the link several times.
+    One core host at a time sends the parts. At a start, several core hosts are queried
+    at once, and the link would carry the same parts several times.
 
     Attributes:
-        transfer: What has come of the next versions.
+        transfer: Parts of the next version received so far.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
 
     @property
     def version(self) -> int:
-        """Version that is held; -1: none."""
+        """Version that is held; -1 if there is none."""
         return self._documents.version
 
     @property
@@ -46,22 +46,22 @@
         return self._documents.content
 
     def wanted_from(self, core: HostName) -> int:
-        """Return the offset of the part that a host should send."""
+        """Return the offset that a core host should send from, or NO_PART."""
         return self.transfer.offset if self._sender in (None, core) else NO_PART
 
     def take(self, core: HostName, part: DocumentPart | None, seconds: float) -> bool:
-        """Take what a host has sent; False: it brought nothing further.
+        """Store a part that a core host has sent; return whether it was useful.
 
         Args:
-            core: The host.
-            part: The next part; None: it has none.
-            seconds: Time that its answer took.
+            core: The core host.
+            part: The next part; None if the host has none.
+            seconds: Seconds that the answer took.
         """
         if part is None or self._sender not in (None, core):
             return False
-        # What comes late may lead on from a version that is held no more.
-        leads_on = part.base_version in (NO_BASE, self.version)
-        if part.version <= self.version or not leads_on:
+        # A late part may be based on a version that has been replaced since.
+        applies = part.base_version in (NO_BASE, self.version)
+        if part.version <= self.version or not applies:
             return False
         if not self.transfer.take(part, seconds):
             return False
@@ -69,19 +69,19 @@
         return not self.transfer.is_whole or self._apply(core)
 
     def release(self, core: HostName) -> None:
-        """Let any host send the next part, if this one did so far."""
+        """Let any core host send the next part, if this one has been the sender."""
         if self._sender == core:
             self._sender = None
 
     def _apply(self, core: HostName) -> bool:
-        """Go on to the version that the parts lead to."""
+        """Apply the complete transfer; return False if it can't be read."""
         self._sender = None
         transfer, self.transfer = self.transfer, DocumentTransfer()
         try:
             for delta in transfer.deltas():
                 self._documents.take(delta)
         except (DeltaMismatch, UnknownBase, msgspec.MsgspecError) as exc:
-            # What is held may be what is damaged: the whole document is asked for.
+            # The held document may be the damaged one, so a whole one is requested.
             self._documents = DocumentHistory(kept_bytes=0)
             _log.error("document not read", core=core, reason=str(exc))
             return False
--- a/packages/node/src/bronzepoint_node/fleet/_document_transfer.py
+++ b/packages/node/src/bronzepoint_node/fleet/_document_transfer.py
@@ -1,4 +1,4 @@
-"""Parts of the catalogue document that have come so far."""
+"""Parts of the catalogue document received so far."""
 
 import msgspec
 
@@ -11,14 +11,14 @@
 class DocumentTransfer:
     """Collects the parts of the deltas that lead from one version to a newer one.
 
-    What has come stays when an answer is late or a host is lost, and any host of the
-    core that has the same deltas may send the rest.
+    Received parts are kept when an answer is late or a host is lost, and any core host
+    with the same deltas may send the rest.
 
     Attributes:
-        version: Version that the parts lead to; -1: none has come.
+        version: Version that the parts lead to; -1 before the first part.
         base_version: Version that the deltas are applied to.
-        size: Bytes of all parts.
-        seconds: Time that the answers with them took.
+        size: Bytes of all parts together.
+        seconds: Seconds that the answers with the parts took.
     """
 
     def __init__(self) -> None:
@@ -30,11 +30,11 @@
 
     @property
     def offset(self) -> int:
-        """Bytes that have come."""
+        """Bytes received."""
         return len(self._content)
 
     def take(self, part: DocumentPart, seconds: float) -> bool:
-        """Take a part, and the seconds it took; False: it isn't the next one."""
+        """Append a part that took ``seconds``; return whether it was the next one."""
         same = (part.version, part.base_version, part.size)
         if same != (self.version, self.base_version, self.size):
             self._begin(part)
@@ -46,14 +46,14 @@
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether all parts have come."""
+        """Return whether all parts have been received."""
         return 0 < self.size <= self.offset
 
     def deltas(self) -> list[DocumentDelta]:
-        """Return what the parts hold together.
+        """Decode the deltas from all parts.
 
         Raises:
-            msgspec.MsgspecError: It can't be read.
+            msgspec.MsgspecError: The content can't be decoded.
         """
         return _decoder.decode(bytes(self._content))
 
--- a/packages/node/src/bronzepoint_node/fleet/_follower.py
+++ b/packages/node/src/bronzepoint_node/fleet/_follower.py
@@ -1,4 +1,4 @@
-"""An entry host's knowledge: what is in force, which targets there are, who lives."""
+"""Synchronisation of an entry host with the core: catalogue, targets and live hosts."""
 
 import random
 import time
@@ -29,53 +29,55 @@
 from ._served import ServedCatalogue
 
 SYNC_INTERVAL = 0.4
-"""Seconds between two questions; a change is in force within 4 s on every host."""
+"""Seconds between two queries; a change must take effect on every host within 4 s."""
 SYNC_TIMEOUT = 0.7
-"""Seconds to wait for a host of the core: four of the longest trips there and back."""
-START_PAUSE = 0.1
-"""Seconds between two questions to each seed while nothing is known yet,"""
-START_TIMEOUT = 0.4
-"""and seconds to wait for its answer. After a kill of everything some of the core are
-not up yet and others have no leader: asked one after another with the patience of a
-calm hour, entry hosts would serve long after the core could have answered."""
-SECOND_INTERVAL = 0.6
-"""Seconds between two questions to some other host of the core. While the core is cut
-in two, its halves hear nothing of each other, but entry hosts reach both."""
-SECOND_BY_HOST = 0.01
-"""Seconds added for each entry host, where this one has no loads to tell: each word of
-a host reaches the other half through any of them."""
-HOME_RETRY = 5.0
-"""Seconds after which a host of the own region is tried again that didn't answer."""
-BEHIND_AGE_MS = 2000
-"""Age of the leader's confirmation from which on a host of the core counts as behind:
-eight heartbeats."""
-BEHIND_RETRY = 1.0
-"""Seconds after which such a host is tried again."""
-
-MOST_CRASHES = 16
-"""Requests that were beside crashes, in one question or answer: some 2 KB."""
+"""Seconds to wait for the answer of a core host: four of the longest round trips."""
+SEED_SYNC_INTERVAL = 0.1
+"""Seconds between two queries to each seed until the first state is received."""
+SEED_SYNC_TIMEOUT = 0.4
+"""Seconds to wait for the answer of a seed before the first state is received. After a
+restart of all hosts, some core hosts aren't running yet and others have no leader.
+Queried one after another with the usual timeout, they would delay entry hosts long
+after the core could answer."""
+SECONDARY_SYNC_INTERVAL = 0.6
+"""Seconds between two queries to another core host. During a network partition within
+the core, entry hosts that reach both sides pass reports between them."""
+SECONDARY_INTERVAL_PER_HOST = 0.01
+"""Seconds added to ``SECONDARY_SYNC_INTERVAL`` per entry host, if this host reports no
+loads. Any entry host can pass a report to the other side of a partition."""
+FAILED_CORE_RETRY = 5.0
+"""Seconds for which a core host that didn't answer is avoided."""
+MAX_CORE_AGE_MS = 2000
+"""Milliseconds since the leader's confirmation above which a core host counts as
+behind: eight heartbeats."""
+STALE_CORE_RETRY = 1.0
+"""Seconds for which a core host that is behind is avoided."""
+
+MAX_CRASH_CASES = 16
+"""Maximum number of crash cases in one query or answer, about 2 KB."""
 
 _log = get_logger("follower")
 
 
 class Follower:
-    """Asks one host of the core after another, the own region's first.
+    """Syncs an entry host with the core, preferably with core hosts of its region.
 
     Args:
         region: Region of this host.
-        describe: Tells what this host says of itself.
-        own_loads: Tells the load of this region's targets.
-        decode: Reads a catalogue document.
-        seeds: Hosts of the core to begin with.
+        describe: Returns the entry of this host for the registry.
+        own_loads: Returns the loads of this region's targets.
+        decode: Decodes a catalogue document.
+        seeds: Core hosts to query first.
         peers: Links to the other hosts.
 
     Attributes:
-        catalogue: What is in force; None: not known yet. Never goes back.
-        closed: Data centers whose targets get nothing.
-        targets: Newest list of the region's targets; None: not known yet.
-        registry: Who lives, and the loads of the regions.
-        entry_hosts: Entry hosts of all regions that live.
-        crashes: Requests that were beside crashes of targets.
+        catalogue: Catalogue in effect, None until received; its version only grows.
+        closed: Data centers whose targets get no requests.
+        targets: Newest list of the region's targets; None until received.
+        targets_read_at: Monotonic time at which that list was read.
+        registry: Live hosts and the loads of the regions.
+        entry_hosts: Number of live entry hosts in all regions.
+        crashes: Requests involved in target crashes.
     """
 
     def __init__(
@@ -104,97 +106,97 @@
         self._current: HostName | None = None
         self._revision = 0
         self._confirmed_at = float("-inf")
-        self._tells_loads = False
+        self._reports_loads = False
         self._copy = DocumentCopy()
         self._avoided_until: dict[HostName, float] = {}
         self._on_change: list[Callable[[], None]] = []
         self._task: curio.Task | None = None
-        self._second: curio.Task | None = None
+        self._secondary_task: curio.Task | None = None
         peers.register(Area.FLEET, FleetMessage, self._ignore)
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after each answer that was taken."""
+        """Call ``listener`` after each answer that was applied."""
         self._on_change.append(listener)
 
     async def start(self) -> None:
-        """Begin to ask."""
+        """Start querying the core."""
         self._task = await curio.spawn(self._run, daemon=True)
-        self._second = await curio.spawn(self._ask_others, daemon=True)
+        self._secondary_task = await curio.spawn(self._query_secondary, daemon=True)
 
     async def close(self) -> None:
-        """Stop asking."""
-        for task in (self._task, self._second):
+        """Stop querying the core."""
+        for task in (self._task, self._secondary_task):
             if task is not None:
                 await task.cancel()
 
     def confirmed_age(self) -> float:
-        """Return the seconds for which there may be a newer catalogue."""
+        """Return the seconds since the catalogue was last confirmed as the newest."""
         return monotonic() - self._confirmed_at
 
     async def tell_now(self) -> None:
-        """Tell the core at once what this host has become, such as leaving."""
-        await self._ask(self._choose())
+        """Sync at once to report a change of this host, such as leaving."""
+        await self._query(self._select_core_host())
 
     async def _ignore(self, peer: HostName, message: FleetMessage) -> None:
-        """Entry hosts only ask; what comes unasked is for hosts of the core."""
+        """Ignore unrequested messages, which are meant for core hosts."""
 
     async def _run(self) -> None:
-        await self._ask_seeds()
+        await self._query_seeds()
         while True:
             began = monotonic()
-            answered = await self._ask(self._choose())
-            spent = monotonic() - began
+            answered = await self._query(self._select_core_host())
+            elapsed = monotonic() - began
             pause = SYNC_INTERVAL if answered else SYNC_INTERVAL / 4
-            await curio.sleep(max(0.05, pause - spent))
+            await curio.sleep(max(0.05, pause - elapsed))
 
-    async def _ask_seeds(self) -> None:
-        """Ask all seeds, each by itself, until one of them has told what is served."""
+    async def _query_seeds(self) -> None:
+        """Query all seeds concurrently until the catalogue and targets are received."""
 
-        async def ask(seed: HostName) -> None:
-            while not self._knows_what_is_served():
-                await self._ask(seed, START_TIMEOUT)
-                await curio.sleep(START_PAUSE)
+        async def query(seed: HostName) -> None:
+            while not self._has_initial_state():
+                await self._query(seed, SEED_SYNC_TIMEOUT)
+                await curio.sleep(SEED_SYNC_INTERVAL)
 
         async with curio.TaskGroup(wait=any) as group:
             for seed in self._seeds:
-                await group.spawn(ask, seed)
-        # Who didn't answer in time then may do so now.
+                await group.spawn(query, seed)
+        # Seeds that didn't answer in time may have become available.
         self._avoided_until.clear()
 
-    def _knows_what_is_served(self) -> bool:
+    def _has_initial_state(self) -> bool:
         return self.catalogue is not None and self.targets is not None
 
-    async def _ask_others(self) -> None:
+    async def _query_secondary(self) -> None:
         while True:
-            pause = SECOND_INTERVAL
-            if not self._tells_loads:
-                pause += SECOND_BY_HOST * self.entry_hosts
+            pause = SECONDARY_SYNC_INTERVAL
+            if not self._reports_loads:
+                pause += SECONDARY_INTERVAL_PER_HOST * self.entry_hosts
             await curio.sleep(pause)
             others = [h.name for h in self.registry.core() if h.name != self._current]
             if others:
-                await self._ask(random.choice(others))
+                await self._query(random.choice(others))
 
-    def _choose(self) -> HostName:
-        """Return whom to ask: of the own region where one answers, else any."""
+    def _select_core_host(self) -> HostName:
+        """Return the core host to query, from this region if one there answers."""
         now = monotonic()
         core = self.registry.core() or [
             CoreHost(seed, RegionName(""), 0) for seed in self._seeds
         ]
         names = nearest_core(core, self._region, self._avoided_until, now)
         if not names:
-            # All have failed lately, as in a cut: any may be the first back.
+            # All failed recently, as in a network partition; any may recover first.
             return random.choice([h.name for h in core] + list(self._seeds))
         if self._current not in names:
             self._current = random.choice(sorted(names))
         return self._current
 
-    async def _ask(self, core: HostName, timeout: float = SYNC_TIMEOUT) -> bool:
-        """Ask a host for what is new, until it has no more; False: it didn't answer."""
+    async def _query(self, core: HostName, timeout: float = SYNC_TIMEOUT) -> bool:
+        """Query a core host for all changes; return whether it answered."""
         try:
-            while await self._exchange(core, timeout):
+            while await self._query_once(core, timeout):
                 pass
         except PeerError as exc:
-            self._avoid(core, HOME_RETRY)
+            self._avoid(core, FAILED_CORE_RETRY)
             held = self._copy.version
             _log.warning(
                 "core host lost", core=core, reason=str(exc), held_version=held
@@ -204,11 +206,11 @@
             self._copy.release(core)
         return True
 
-    async def _exchange(self, core: HostName, timeout: float) -> bool:
-        """Ask once; True: the host has more of the document.
+    async def _query_once(self, core: HostName, timeout: float) -> bool:
+        """Send one query; return whether the core host has more of the document.
 
         Raises:
-            PeerError: It didn't answer.
+            PeerError: The core host didn't answer.
         """
         request = SyncRequest(
             host=self._describe(),
@@ -217,61 +219,61 @@
             loads=self._own_loads(),
             part_version=self._copy.transfer.version,
             part_offset=self._copy.wanted_from(core),
-            crashes=self.crashes.share(monotonic(), MOST_CRASHES),
+            crashes=self.crashes.select_cases(monotonic(), MAX_CRASH_CASES),
         )
-        self._tells_loads = bool(request.loads)
+        self._reports_loads = bool(request.loads)
         began = monotonic()
 
-        def take_late(reply: SyncReply) -> None:
-            self._take_late(core, reply, began)
+        def apply_late(reply: SyncReply) -> None:
+            self._apply_late_reply(core, reply, began)
 
-        reply = await self._peers.call(core, Area.FLEET, request, timeout, take_late)
+        reply = await self._peers.call(core, Area.FLEET, request, timeout, apply_late)
         self._avoided_until.pop(core, None)
-        if not 0 <= reply.confirmed_age_ms <= BEHIND_AGE_MS:
-            # It answers, but hears of no change. Asked again and again, it would keep
-            # this host on an older catalogue.
-            self._avoid(core, BEHIND_RETRY)
-        return self._take(core, reply, began)
+        if not 0 <= reply.confirmed_age_ms <= MAX_CORE_AGE_MS:
+            # The core host answers but receives no changes. Querying it further would
+            # keep this host on an older catalogue.
+            self._avoid(core, STALE_CORE_RETRY)
+        return self._apply_reply(core, reply, began)
 
     def _avoid(self, core: HostName, seconds: float) -> None:
         self._avoided_until[core] = monotonic() + seconds
         if self._current == core:
             self._current = None
 
-    def _take(self, core: HostName, reply: SyncReply, began: float) -> bool:
-        """Take in an answer; True: its sender has more of the document.
+    def _apply_reply(self, core: HostName, reply: SyncReply, began: float) -> bool:
+        """Apply an answer; return whether its sender has more of the document.
 
         Args:
             core: The sender.
-            reply: What it says.
-            began: When it was asked.
+            reply: The answer.
+            began: Monotonic time at which the query was sent.
         """
-        has_more = self._take_in_force(core, reply, began)
-        self._take_targets(reply)
+        has_more = self._apply_versioned(core, reply, began)
+        self._apply_targets(reply)
         self.registry.hear_entries(reply.hosts)
         self.entry_hosts = reply.entry_hosts
         self.registry.note_size(self._region, reply.region_hosts)
         self.registry.hear_core(reply.core)
         self.registry.hear_loads(reply.loads)
         self.crashes.merge(reply.crashes, monotonic())
-        self._tell_listeners()
+        self._notify_listeners()
         return has_more
 
-    def _take_late(self, core: HostName, reply: SyncReply, began: float) -> None:
-        """Take in what doesn't age of an answer that came after its timeout.
+    def _apply_late_reply(self, core: HostName, reply: SyncReply, began: float) -> None:
+        """Apply the parts of an answer that stay valid after its timeout.
 
-        Dropped, it would leave a host that lags, or whose link is full, on an old
-        catalogue for good.
+        If late answers were dropped, a slow host or one with a full link would stay on
+        an old catalogue permanently.
         """
-        self._take_in_force(core, reply, began)
+        self._apply_versioned(core, reply, began)
         if self.targets is None:
-            self._take_targets(reply)
-        self._tell_listeners()
+            self._apply_targets(reply)
+        self._notify_listeners()
 
-    def _take_in_force(self, core: HostName, reply: SyncReply, began: float) -> bool:
-        """Take in what has a version; True: its sender has more of the document."""
-        has_more = self._take_document(core, reply, monotonic() - began)
-        # A host of the core that is itself behind must not take closing back.
+    def _apply_versioned(self, core: HostName, reply: SyncReply, began: float) -> bool:
+        """Apply all versioned parts; return whether the sender has more of them."""
+        has_more = self._apply_document(core, reply, monotonic() - began)
+        # A core host that is behind must not reopen closed data centers.
         if reply.revision >= self._revision:
             self._revision = reply.revision
             closed = frozenset(reply.closed)
@@ -284,12 +286,12 @@
             self._confirmed_at = max(self._confirmed_at, confirmed_at)
         return has_more
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._on_change:
             listener()
 
-    def _take_document(self, core: HostName, reply: SyncReply, seconds: float) -> bool:
-        # The copy begins another one with the last part.
+    def _apply_document(self, core: HostName, reply: SyncReply, seconds: float) -> bool:
+        # The copy replaces its transfer object when the last part arrives.
         transfer = self._copy.transfer
         if not self._copy.take(core, reply.document, seconds):
             return False
@@ -311,27 +313,27 @@
             )
         return self._copy.version < reply.document_version
 
-    def _take_targets(self, reply: SyncReply) -> None:
-        """Take a list that was read later than the one held, whoever read it."""
+    def _apply_targets(self, reply: SyncReply) -> None:
+        """Apply a target list that was read later than the one held."""
         if reply.targets_age_ms < 0:
             return
         read_at = monotonic() - reply.targets_age_ms / 1000
         if read_at <= self.targets_read_at:
             return
-        if reply.targets is not None and not self._take_list(reply.targets):
+        if reply.targets is not None and not self._apply_list(reply.targets):
             return
         self.targets_read_at = read_at
 
-    def _take_list(self, told: TargetList) -> bool:
-        """Take in a list, or what has changed of it; False: it changes another one."""
-        if told.base not in ("", self._list_digest):
+    def _apply_list(self, update: TargetList) -> bool:
+        """Apply a target list or its changes; return False if the base differs."""
+        if update.base not in ("", self._list_digest):
             return False
         held = {target.incarnation: target for target in self.targets or ()}
-        if not told.base:
+        if not update.base:
             held = {}
-        for name in told.gone:
+        for name in update.gone:
             held.pop(name, None)
-        held |= {target.incarnation: target for target in told.targets}
+        held |= {target.incarnation: target for target in update.targets}
         self.targets = list(held.values())
-        self._list_digest = told.digest
+        self._list_digest = update.digest
         return True
--- a/packages/node/src/bronzepoint_node/fleet/_nearest_core.py
+++ b/packages/node/src/bronzepoint_node/fleet/_nearest_core.py
@@ -1,4 +1,4 @@
-"""Which hosts of the core an entry host turns to first."""
+"""Selection of the core hosts that an entry host prefers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -12,17 +12,20 @@
     avoided_until: Mapping[HostName, float],
     now: float,
 ) -> list[HostName]:
-    """Return hosts of the own region, else of any; empty: all are avoided.
+    """Return the available core hosts of this region, or of all if it has none.
 
     Args:
-        core: Hosts of the core that are heard of.
-        region: The own region.
-        avoided_until: Until when those are passed over that didn't answer.
+        core: Live core hosts.
+        region: This host's region.
+        avoided_until: Monotonic time until which each failed host is avoided.
         now: Monotonic seconds.
+
+    Returns:
+        Names of the hosts; empty if all are avoided.
     """
-    fit = [host for host in core if now >= avoided_until.get(host.name, 0.0)]
-    near = [host for host in fit if host.region == region]
-    return [host.name for host in near or fit]
+    available = [host for host in core if now >= avoided_until.get(host.name, 0.0)]
+    local = [host for host in available if host.region == region]
+    return [host.name for host in local or available]
 
 
 __all__ = ["nearest_core"]
--- a/packages/node/src/bronzepoint_node/fleet/_organisation.py
+++ b/packages/node/src/bronzepoint_node/fleet/_organisation.py
@@ -1,4 +1,4 @@
-"""Who may ask, and how much: an organisation of the catalogue."""
+"""Organisations of the catalogue and their quotas."""
 
 from hashlib import blake2b
 
@@ -9,17 +9,17 @@
 DIGEST_SIZE = 16
 """Bytes of a key's digest."""
 SHOWN_DIGITS = 8
-"""Hex digits by which log lines name a key."""
+"""Number of hex digits of a key's digest that log lines show."""
 
 
 class Quota(Struct, frozen=True):
-    """What an organisation may use over all hosts.
+    """Limit of an organisation's use over all hosts.
 
     Attributes:
-        rate: Units a second.
+        rate: Units per second.
         burst: Units that may be used at once after a pause.
-        in_tokens: The unit is a token; else it is a request.
-        plain_units: Units of a request that doesn't say its tokens.
+        in_tokens: Whether the unit is a token; otherwise it is a request.
+        plain_units: Units charged for a request that doesn't state its tokens.
     """
 
     rate: float
@@ -31,7 +31,7 @@
         """Return the units of a request.
 
         Args:
-            tokens: Tokens of its prompt and of its longest answer; None: not said.
+            tokens: Tokens of its prompt and its longest answer; None if not stated.
         """
         if not self.in_tokens:
             return 1
@@ -39,12 +39,13 @@
 
 
 class Organisation(Struct, frozen=True):
-    """Callers that are served, limited and told apart together.
+    """A group of callers that share permissions, limits and metrics.
 
     Attributes:
-        priority: Rank of its requests, before that of their route; None: the route's.
-        home_regions: Regions that may serve it; empty: all.
-        quota: None: it isn't limited.
+        name: Name of the organisation.
+        priority: Rank of its requests, which overrides the route's; None to use that.
+        home_regions: Regions that may serve it; empty for all.
+        quota: Limit of its use; None for no limit.
     """
 
     name: OrganisationName
@@ -59,5 +60,5 @@
 
 
 def shown_digest(digest: KeyDigest | None) -> str | None:
-    """Return the part of a digest that log lines show; None: there was no key."""
+    """Return the part of a digest that log lines show; None without a key."""
     return digest[:SHOWN_DIGITS] if digest is not None else None
--- a/packages/node/src/bronzepoint_node/fleet/_registry.py
+++ b/packages/node/src/bronzepoint_node/fleet/_registry.py
@@ -1,4 +1,4 @@
-"""Entry hosts and hosts of the core that were heard of lately."""
+"""Registry of live entry hosts, live core hosts and region loads."""
 
 from collections.abc import Iterable
 from typing import Generic, TypeVar
@@ -10,120 +10,127 @@
 from bronzepoint_schema.ids import HostName, RegionName
 
 ENTRY_EXPIRY = 1.8
-"""Seconds after which an entry host that says nothing is named to nobody.
+"""Seconds since the last report after which an entry host no longer counts as live.
 
-Four of its messages: a lost one must not take a host away from its callers, and a
-dead host is to be forgotten before callers have run into it twice.
+This is about four report intervals: one lost message must not remove a live host, and a
+dead host must expire before a caller is likely to reach it twice.
 """
 CORE_EXPIRY = 4.0
+"""Seconds since the last report after which a core host no longer counts as live."""
 LOAD_EXPIRY = 3.0
+"""Seconds after which the reported load of a region is out of date."""
 COLLECTOR_ORDER = "collector of target loads"
-"""Key by which hosts of a region come to collect its loads, by rendezvous hash."""
-KEPT_ANSWER = 0.05
-"""Seconds for which the answer to one question is kept, as it is asked several times
-for each request. Ages are this much too high or too low at most."""
+"""Rendezvous hash key for the order in which hosts become collectors of loads."""
+RESULT_CACHE_TIME = 0.05
+"""Seconds for which query results are cached, as each request makes several queries.
+Returned ages may be wrong by this much."""
 LAST_RESORT = 10.0
-"""Seconds for which hosts and loads are kept beyond that: where nothing newer is
-known, an old word is better than a refusal."""
+"""Seconds for which reports are kept, longer than they count as current. If nothing
+newer is known, using an old report is better than refusing a request."""
 
 Key = TypeVar("Key")
 Word = TypeVar("Word", EntryHost, CoreHost, RegionLoad)
 
 
-class _Heard(Generic[Key, Word]):
-    """The newest word about each key, with the local time that it speaks of."""
+class _LatestReports(Generic[Key, Word]):
+    """The newest report for each key and the local time to which it refers."""
 
     def __init__(self) -> None:
-        self._words: dict[Key, tuple[float, Word]] = {}
-        self._answers: dict[float, tuple[float, list[Word]]] = {}
-
-    def hear(self, key: Key, word: Word) -> None:
-        """Take a word, where it is newer than the one held."""
-        at = monotonic() - word.age_ms / 1000
-        known = self._words.get(key)
-        if known is not None and at <= known[0]:
+        self._reports: dict[Key, tuple[float, Word]] = {}
+        self._cached_results: dict[float, tuple[float, list[Word]]] = {}
+
+    def merge(self, key: Key, report: Word) -> None:
+        """Store a report if it is newer than the stored one."""
+        at = monotonic() - report.age_ms / 1000
+        stored = self._reports.get(key)
+        if stored is not None and at <= stored[0]:
             return
-        self._words[key] = (at, word)
-        if known is None or _differ(known[1], word):
-            # An answer that is kept may lag in its ages, but not in what it says.
-            self._answers.clear()
+        self._reports[key] = (at, report)
+        if stored is None or _differs(stored[1], report):
+            # Cached results may have outdated ages but not outdated content.
+            self._cached_results.clear()
 
     def get(self, key: Key) -> Word | None:
-        """Return the word held about a key, however old it is."""
-        known = self._words.get(key)
-        return known[1] if known is not None else None
+        """Return the report for a key regardless of its age."""
+        stored = self._reports.get(key)
+        return stored[1] if stored is not None else None
 
     def newer_than(self, expiry: float) -> list[Word]:
-        """Return the words of the last seconds with their present ages."""
+        """Return the reports younger than ``expiry`` seconds with current ages."""
         now = monotonic()
-        kept = self._answers.get(expiry)
-        if kept is None or now - kept[0] > KEPT_ANSWER:
-            kept = self._answers[expiry] = (now, self._look(expiry, now))
-        return list(kept[1])
+        cached = self._cached_results.get(expiry)
+        if cached is None or now - cached[0] > RESULT_CACHE_TIME:
+            cached = self._cached_results[expiry] = (now, self._collect(expiry, now))
+        return list(cached[1])
 
-    def _look(self, expiry: float, now: float) -> list[Word]:
-        for key, (at, _) in list(self._words.items()):
+    def _collect(self, expiry: float, now: float) -> list[Word]:
+        for key, (at, _) in list(self._reports.items()):
             if now - at > LAST_RESORT:
-                del self._words[key]
+                del self._reports[key]
         return [
-            msgspec.structs.replace(word, age_ms=max(0, int((now - at) * 1000)))
-            for at, word in self._words.values()
+            msgspec.structs.replace(report, age_ms=max(0, int((now - at) * 1000)))
+            for at, report in self._reports.values()
             if now - at <= expiry
         ]
 
 
-def _differ(one: Word, other: Word) -> bool:
-    """Tell whether two words of one key say other things, ages aside."""
+def _differs(one: Word, other: Word) -> bool:
+    """Return whether two reports of one key differ in more than their age."""
     return msgspec.structs.replace(one, age_ms=other.age_ms) != other
 
 
 class Registry:
-    """Who lives and how busy the regions are, with the age of each word.
+    """Live hosts and region loads, each with the age of its report.
 
-    Ages travel in milliseconds and become local times on arrival, so that no two
-    clocks are compared.
+    Messages carry ages in milliseconds, which are converted to local times on arrival.
+    This avoids comparing the clocks of two hosts.
     """
 
     def __init__(self) -> None:
-        self._entries: _Heard[HostName, EntryHost] = _Heard()
-        self._core: _Heard[HostName, CoreHost] = _Heard()
-        self._loads: _Heard[tuple[RegionName, str], RegionLoad] = _Heard()
+        self._entries: _LatestReports[HostName, EntryHost] = _LatestReports()
+        self._core: _LatestReports[HostName, CoreHost] = _LatestReports()
+        self._loads: _LatestReports[tuple[RegionName, str], RegionLoad] = (
+            _LatestReports()
+        )
         self._sizes: dict[RegionName, int] = {}
 
     def hear_entries(self, hosts: Iterable[EntryHost]) -> None:
-        """Take newer word of entry hosts."""
+        """Merge reports on entry hosts, keeping the newer ones."""
         for host in hosts:
-            self._entries.hear(host.name, host)
+            self._entries.merge(host.name, host)
 
     def hear_core(self, hosts: Iterable[CoreHost]) -> None:
-        """Take newer word of hosts of the core."""
+        """Merge reports on core hosts, keeping the newer ones and known regions."""
         for host in hosts:
-            known = self._core.get(host.name)
-            if known is not None and not host.region:
-                host = msgspec.structs.replace(host, region=known.region)
-            self._core.hear(host.name, host)
+            stored = self._core.get(host.name)
+            if stored is not None and not host.region:
+                host = msgspec.structs.replace(host, region=stored.region)
+            self._core.merge(host.name, host)
 
     def hear_loads(self, loads: Iterable[RegionLoad]) -> None:
-        """Take newer word of loads."""
+        """Merge reports on loads, keeping the newer ones."""
         for load in loads:
-            self._loads.hear((load.region, load.service), load)
+            self._loads.merge((load.region, load.service), load)
 
     def entries(self, expiry: float = ENTRY_EXPIRY) -> list[EntryHost]:
-        """Return the entry hosts heard of within ``expiry`` seconds."""
+        """Return the entry hosts reported within the last ``expiry`` seconds."""
         return self._entries.newer_than(expiry)
 
     def note_size(self, region: RegionName, hosts: int) -> None:
-        """Take in how many entry hosts of a region take requests."""
+        """Store how many entry hosts of a region accept requests."""
         self._sizes[region] = hosts
 
     def size(self, region: RegionName) -> int:
-        """Return how many do, where only a few of them are told; 0: not known."""
+        """Return how many entry hosts of a region accept requests; 0 if unknown.
+
+        In a large region this exceeds the number of hosts in the registry.
+        """
         return self._sizes.get(region, 0)
 
     def core(self) -> list[CoreHost]:
-        """Return the hosts of the core that live."""
+        """Return the live core hosts."""
         return self._core.newer_than(CORE_EXPIRY)
 
     def loads(self, expiry: float = LOAD_EXPIRY) -> list[RegionLoad]:
-        """Return the loads that are not older than ``expiry`` seconds."""
+        """Return the loads reported within the last ``expiry`` seconds."""
         return self._loads.newer_than(expiry)
--- a/packages/node/src/bronzepoint_node/fleet/_served.py
+++ b/packages/node/src/bronzepoint_node/fleet/_served.py
@@ -1,4 +1,4 @@
-"""What is served: the routes and services of one catalogue document."""
+"""Routes, services and limits of one catalogue document."""
 
 import math
 from collections import defaultdict
@@ -14,7 +14,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of the requests on a route."""
+    """Whether and how the requests on a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -22,10 +22,11 @@
 
 
 class ServiceShare(Struct, frozen=True):
-    """A part of a route's requests.
+    """A service's share of the requests on a route.
 
     Attributes:
-        weight: Share, against the sum of the weights of the route.
+        service: Name of the service.
+        weight: Weight relative to the sum of the weights of the route.
     """
 
     service: str
@@ -33,17 +34,17 @@
 
 
 class ServedRoute(Struct, frozen=True):
-    """Requests of one host name and path prefix.
+    """Settings for the requests of one host name and path prefix.
 
     Attributes:
-        timeout: Seconds for which a caller may be kept waiting.
-        objective: Seconds within which an answer has its full worth.
-        priority: Rank; 0 goes first.
-        max_attempts: Targets that one request may be sent to.
-        resumable: A broken stream may go on at another target.
-        max_gap: Seconds between two events of a stream that is still in time; 0: any.
-        home_regions: Regions that may serve it; empty: all.
-        is_open: It serves callers without an API key, too.
+        timeout: Seconds for which a caller may wait for an answer.
+        objective: Seconds within which an answer has its full value.
+        priority: Rank; 0 is served first.
+        max_attempts: Maximum number of targets that one request may be sent to.
+        resumable: Whether an interrupted stream may resume on another target.
+        max_gap: Maximum seconds between two events of a stream; 0 for no limit.
+        home_regions: Regions that may serve the route; empty for all.
+        is_open: Whether callers without an API key are served too.
     """
 
     name: str
@@ -62,24 +63,24 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may be sent again though it may have run."""
+        """Return whether a request that may have run can be sent again."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
         )
 
 
 class EngineFacts(Struct, frozen=True):
-    """What is known beforehand of the engines of a service.
+    """Configured properties of the engines of a service.
 
     Attributes:
-        slots: Requests in one batch.
-        memory_tokens: Tokens of running requests and cached prompts.
-        backups: A run's memory may be copied to another engine as it grows.
-        moves: A run may be moved to another engine.
-        event_watchers: Calls for cache events that one engine keeps waiting.
-        event_tokens: Tokens in one event of a stream; 0: not said.
-        token_bytes: Bytes of memory that one token takes up; 0: not said.
-        link_bytes: Bytes a second between two engines; 0: not said.
+        slots: Maximum number of requests in one batch.
+        memory_tokens: Tokens that running requests and cached prompts may occupy.
+        backups: Whether a run's memory may be copied to another engine as it grows.
+        moves: Whether a run may be moved to another engine.
+        event_watchers: Number of long polls for cache events that an engine keeps open.
+        event_tokens: Tokens in one event of a stream; 0 if not specified.
+        token_bytes: Bytes of memory per token; 0 if not specified.
+        link_bytes: Bytes per second between two engines; 0 if not specified.
     """
 
     slots: int
@@ -93,21 +94,22 @@
 
     @property
     def seconds_to_copy(self) -> float:
-        """Return the seconds to copy a token to another engine; inf: not said."""
+        """Seconds to copy one token to another engine; inf if not specified."""
         if self.token_bytes <= 0 or self.link_bytes <= 0:
             return math.inf
         return self.token_bytes / self.link_bytes
 
 
 class ServedService(Struct, frozen=True):
-    """Targets that answer the same requests.
+    """A group of targets that answer the same requests.
 
     Attributes:
+        name: Name of the service.
         health_path: Path of the health check.
-        max_connections: Connections that one target accepts.
-        cold_time: Seconds for which a started target is cold; 0: it never is.
-        cold_rate: Requests a second that a cold target stands.
-        engine: None: a plain service.
+        max_connections: Maximum number of connections to one target.
+        cold_time: Seconds after its start for which a target is cold; 0 for none.
+        cold_rate: Requests per second that a cold target can handle.
+        engine: Properties of its engines; None for a plain service.
     """
 
     name: str
@@ -119,7 +121,7 @@
 
 
 class CallerLimits(Struct, frozen=True):
-    """What callers may send; sizes in bytes, times in seconds."""
+    """Limits on callers' requests; sizes in bytes, times in seconds."""
 
     max_head: int = 16384
     max_body: int = 4194304
@@ -128,11 +130,16 @@
 
 
 class ServedCatalogue(Struct, frozen=True, dict=True):
-    """One whole catalogue document, checked.
+    """One validated catalogue document.
 
     Attributes:
-        keys: Who holds each API key, by the key's digest.
-        organisations: All of them, also those without a key; None: callers need none.
+        version: Version of the document.
+        routes: All routes.
+        services: Services by name.
+        limits: Limits on callers' requests.
+        keys: Organisation of each API key, by the key's digest.
+        organisations: All organisations, including those without a key; None if callers
+            don't need a key.
     """
 
     version: int
@@ -143,7 +150,7 @@
     organisations: dict[OrganisationName, Organisation] | None = None
 
     def needs_key(self, route: ServedRoute) -> bool:
-        """Tell whether a route serves only callers whose API key is known."""
+        """Return whether a route serves only callers with a known API key."""
         return self.organisations is not None and not route.is_open
 
     def routes_of(self, host: str) -> Sequence[ServedRoute]:
@@ -151,9 +158,9 @@
         return self._by_host.get(host, ())
 
     def find_route(self, host: str, path: str) -> ServedRoute | None:
-        """Return the route of the host name with the longest prefix of the path."""
-        fitting = [r for r in self.routes_of(host) if path.startswith(r.prefix)]
-        return max(fitting, key=lambda route: len(route.prefix), default=None)
+        """Return the host's route with the longest matching prefix of the path."""
+        matching = [r for r in self.routes_of(host) if path.startswith(r.prefix)]
+        return max(matching, key=lambda route: len(route.prefix), default=None)
 
     @cached_property
     def _by_host(self) -> dict[str, list[ServedRoute]]:
--- a/packages/node/src/bronzepoint_node/quarantine/__init__.py
+++ b/packages/node/src/bronzepoint_node/quarantine/__init__.py
@@ -1,22 +1,22 @@
-"""Requests that crash the targets that run them: found, tried apart, held back."""
+"""Detection and isolation of requests that crash the targets that run them."""
 
-from ._case import KEPT, Case, Mark
+from ._case import RETENTION, CrashRecord, SuspectRecord
 from ._crash_table import CrashTable
 from ._crash_watch import Crash, CrashWatch, WatchedRun
 from ._fingerprint import RequestNames, is_any_caller, name_request
 from ._quarantine import Admitted, Held, Quarantine, TrialEnd
-from ._standing import SUSPECT_FROM, Standing
+from ._standing import MIN_CRASHES_SUSPECT, Standing
 
 __all__ = [
-    "KEPT",
-    "SUSPECT_FROM",
+    "RETENTION",
+    "MIN_CRASHES_SUSPECT",
     "Admitted",
-    "Case",
+    "SuspectRecord",
     "Crash",
     "CrashTable",
     "CrashWatch",
     "Held",
-    "Mark",
+    "CrashRecord",
     "Quarantine",
     "RequestNames",
     "Standing",
--- a/packages/node/src/bronzepoint_node/quarantine/_case.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_case.py
@@ -1,26 +1,26 @@
-"""The crashes that one request was beside."""
+"""Crash records of a request that was in progress when targets crashed."""
 
 from dataclasses import dataclass, field
 
 from bronzepoint_schema.generated.quarantine import CrashCase, CrashMark
 from bronzepoint_schema.ids import Fingerprint
 
-KEPT = 600.0
-"""Seconds for which a crash counts. A request that is held back may be tried again
-this long after the last target that it crashed."""
-MOST_MARKS = 8
-"""Crashes kept of one request; a few decide."""
+RETENTION = 600.0
+"""Seconds for which a crash counts. A blocked request may be tried again this long
+after the last crash attributed to it."""
+MAX_CRASH_RECORDS = 8
+"""Maximum number of crashes kept for one request; a few are enough to decide."""
 
 
 @dataclass
-class Mark:
-    """A crash of a target that a request ran at.
+class CrashRecord:
+    """A crash of a target during a run of a request.
 
     Attributes:
-        at: When it was, by this host's clock.
-        early: The run had just begun.
-        alone: It was on trial there, and nothing had begun after it.
-        cleared: It counts no more.
+        at: Time of the crash in monotonic seconds of this host.
+        early: Whether the run had just begun.
+        alone: Whether the request was on trial and no other run began after it.
+        cleared: Whether the crash no longer counts against the request.
     """
 
     at: float
@@ -28,12 +28,15 @@
     alone: bool = False
     cleared: bool = False
 
-    def join(self, other: "Mark") -> bool:
-        """Take in what another host says of the same crash; True: that was new.
+    def merge(self, other: "CrashRecord") -> bool:
+        """Merge another host's record of the same crash.
 
-        The order in which hosts hear of it makes no difference.
+        The merge is commutative, so the order of the reports doesn't matter.
+
+        Returns:
+            Whether the other record added any information.
         """
-        joined = Mark(
+        joined = CrashRecord(
             min(self.at, other.at),
             self.early or other.early,
             self.alone or other.alone,
@@ -50,66 +53,72 @@
 
 
 @dataclass
-class Case:
-    """A request that was beside crashes.
+class SuspectRecord:
+    """The crashes recorded for one request.
 
     Attributes:
-        marks: The crashes, by the start of the target.
-        changed_at: When anything of it was last news to this host.
+        fingerprint: Fingerprint of the request.
+        service: Service whose targets crashed.
+        crash_records: The crashes, by the incarnation of the target.
+        changed_at: Monotonic time of the last change known to this host.
     """
 
     fingerprint: Fingerprint
     service: str
-    marks: dict[str, Mark] = field(default_factory=dict)
+    crash_records: dict[str, CrashRecord] = field(default_factory=dict)
     changed_at: float = 0.0
 
     @property
-    def open_marks(self) -> dict[str, Mark]:
+    def active_crash_records(self) -> dict[str, CrashRecord]:
         """Return the crashes that still count."""
-        return {name: m for name, m in self.marks.items() if not m.cleared}
+        return {name: m for name, m in self.crash_records.items() if not m.cleared}
 
     @property
-    def newest(self) -> float:
-        """When the last of the crashes was."""
-        return max(mark.at for mark in self.marks.values())
+    def last_crash_at(self) -> float:
+        """Monotonic time of the latest crash."""
+        return max(crash_record.at for crash_record in self.crash_records.values())
 
-    def add(self, target: str, mark: Mark) -> bool:
-        """Count a crash; True: something of it was new."""
-        known = self.marks.get(target)
+    def add(self, target: str, crash_record: CrashRecord) -> bool:
+        """Record a crash; return whether it added any information."""
+        known = self.crash_records.get(target)
         if known is not None:
-            return known.join(mark)
-        self.marks[target] = mark
-        while len(self.marks) > MOST_MARKS:
-            # Cleared ones first, then those that say least, then the oldest.
-            least = min(
-                self.marks,
+            return known.merge(crash_record)
+        self.crash_records[target] = crash_record
+        while len(self.crash_records) > MAX_CRASH_RECORDS:
+            # Evict cleared crashes first, then those without proof, then the oldest.
+            weakest = min(
+                self.crash_records,
                 key=lambda name: (
-                    not self.marks[name].cleared,
-                    self.marks[name].alone,
-                    self.marks[name].at,
+                    not self.crash_records[name].cleared,
+                    self.crash_records[name].alone,
+                    self.crash_records[name].at,
                 ),
             )
-            del self.marks[least]
-        return target in self.marks
-
-    def forget_before(self, moment: float) -> None:
-        """Drop crashes that were too long ago."""
-        for name in [n for n, mark in self.marks.items() if mark.at < moment]:
-            del self.marks[name]
-
-    def tell(self, now: float) -> CrashCase:
-        """Return the form in which other hosts hear of it."""
+            del self.crash_records[weakest]
+        return target in self.crash_records
+
+    def drop_before(self, moment: float) -> None:
+        """Drop crashes older than ``moment`` (monotonic seconds)."""
+        for name in [
+            n
+            for n, crash_record in self.crash_records.items()
+            if crash_record.at < moment
+        ]:
+            del self.crash_records[name]
+
+    def to_message(self, now: float) -> CrashCase:
+        """Return the message that reports this request to other hosts."""
         return CrashCase(
             self.fingerprint,
             self.service,
             [
                 CrashMark(
                     name,
-                    int((now - mark.at) * 1000),
-                    mark.early,
-                    mark.alone,
-                    mark.cleared,
+                    int((now - crash_record.at) * 1000),
+                    crash_record.early,
+                    crash_record.alone,
+                    crash_record.cleared,
                 )
-                for name, mark in self.marks.items()
+                for name, crash_record in self.crash_records.items()
             ],
         )
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
@@ -1,4 +1,4 @@
-"""All requests that were beside crashes, as far as one host knows."""
+"""The table of requests involved in target crashes, as known to one host."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,240 +7,288 @@
 from bronzepoint_schema.generated.quarantine import CrashCase
 from bronzepoint_schema.ids import Fingerprint
 
-from ._case import KEPT, Case, Mark
+from ._case import RETENTION, CrashRecord, SuspectRecord
 from ._fingerprint import RequestNames
-from ._standing import SUSPECT_FROM, Standing, judge
-
-MOST_CASES = 512
-"""Names of requests kept, 1 MB: those that were beside most crashes stay."""
-FRESH = 3.0
-"""Seconds for which news is told first: a host asks seven times in them."""
-SETTLED = 20.0
-"""Seconds without news after which most hosts know all of a case."""
-MOST_SETTLED = 2
-"""Settled cases in one message, for hosts that have just started and after a cut."""
-ROTATION = 0.4
-"""Seconds after which the next ones are told, where there are more than one message
-holds: the interval of the entry hosts' questions."""
+from ._standing import MIN_CRASHES_SUSPECT, Standing, suspicion_levels
+
+MAX_RECORDS = 512
+"""Maximum number of requests kept, about 1 MB. The ones with the most crashes stay."""
+PRIORITY_PERIOD = 3.0
+"""Seconds for which a changed record is sent with priority. A host syncs seven times
+in this period."""
+SETTLED_AFTER = 20.0
+"""Seconds without a change after which most hosts are assumed to know a record."""
+MAX_SETTLED = 2
+"""Maximum number of settled records in one message. They are sent for hosts that have
+just started or were partitioned."""
+ROTATION_INTERVAL = 0.4
+"""Seconds after which a message carries the next slice of the records, if one message
+can't hold all. It equals the sync interval of the entry hosts."""
 
 _log = get_logger("quarantine")
 
 
 class CrashTable:
-    """Adds up what all hosts have seen.
+    """Merges the crash reports of all hosts and derives the standing of each request.
 
-    Hosts tell each other whole cases, in any order and as often as they like: each
-    crash is known by its target, so nothing counts twice, and the two sides of a cut
-    add up.
+    Hosts exchange whole records, in any order and any number of times. Each crash is
+    identified by the target's incarnation, so no crash counts twice, and the reports
+    from both sides of a network partition add up.
 
     Args:
-        on_change: Called with the requests whose standing has changed.
+        on_change: Called with the records whose standing has changed.
     """
 
-    def __init__(self, on_change: Callable[[list[Case]], None] | None = None) -> None:
+    def __init__(
+        self, on_change: Callable[[list[SuspectRecord]], None] | None = None
+    ) -> None:
         self._on_change = on_change
-        self._cases: dict[Fingerprint, Case] = {}
+        self._records: dict[Fingerprint, SuspectRecord] = {}
         self._standings: dict[Fingerprint, Standing] = {}
 
     def __len__(self) -> int:
-        return len(self._cases)
+        return len(self._records)
 
-    def __contains__(self, name: Fingerprint) -> bool:
-        return name in self._cases
+    def __contains__(self, fingerprint: Fingerprint) -> bool:
+        return fingerprint in self._records
 
-    def cases(self, least: int = 1) -> list[Case]:
-        """Return the requests that were beside so many crashes or more."""
-        return [case for case in self._cases.values() if len(case.marks) >= least]
+    def records(self, min_crashes: int = 1) -> list[SuspectRecord]:
+        """Return the requests with at least this many recorded crashes."""
+        return [
+            record
+            for record in self._records.values()
+            if len(record.crash_records) >= min_crashes
+        ]
 
-    def standing(self, name: Fingerprint) -> Standing:
-        """Return how what goes by a name is treated."""
-        return self._standings.get(name, Standing.CLEAR)
+    def standing(self, fingerprint: Fingerprint) -> Standing:
+        """Return the standing of one fingerprint."""
+        return self._standings.get(fingerprint, Standing.CLEAR)
 
-    def standing_of(self, names: RequestNames) -> Standing:
-        """Return how a request is treated."""
+    def standing_of(self, fingerprints: RequestNames) -> Standing:
+        """Return the standing of a request: the stricter one of its fingerprints."""
         if not self._standings:
             return Standing.CLEAR
-        return max(self.standing(names.exact), self.standing(names.content))
+        return max(
+            self.standing(fingerprints.exact), self.standing(fingerprints.content)
+        )
 
     def count(self, standing: Standing) -> int:
-        """Return how many requests have a standing other than clear."""
+        """Return how many requests have this standing, which must not be CLEAR."""
         return sum(found is standing for found in self._standings.values())
 
-    def case(self, name: Fingerprint) -> Case | None:
-        """Return what is known of a request; None: it was beside no crash."""
-        return self._cases.get(name)
-
-    def held_for(self, name: Fingerprint, now: float) -> float:
-        """Return the seconds until a request that is held back may be tried again."""
-        case = self._cases.get(name)
-        return max(0.0, case.newest + KEPT - now) if case is not None else 0.0
+    def record(self, fingerprint: Fingerprint) -> SuspectRecord | None:
+        """Return the record of a request, or None if it has no recorded crash."""
+        return self._records.get(fingerprint)
+
+    def blocked_for(self, fingerprint: Fingerprint, now: float) -> float:
+        """Return the seconds until a blocked request may be tried again."""
+        record = self._records.get(fingerprint)
+        return (
+            max(0.0, record.last_crash_at + RETENTION - now)
+            if record is not None
+            else 0.0
+        )
 
-    def note(
-        self, marks: dict[Fingerprint, Mark], service: str, target: str, now: float
+    def record_crash(
+        self,
+        crash_records: dict[Fingerprint, CrashRecord],
+        service: str,
+        target: str,
+        now: float,
     ) -> None:
-        """Count a crash of a target for the requests that ran there."""
+        """Record a crash of a target for the requests that ran there."""
         changed = [
-            name
-            for name, mark in marks.items()
-            if self._add(name, service, target, mark)
+            fingerprint
+            for fingerprint, crash_record in crash_records.items()
+            if self._add(fingerprint, service, target, crash_record)
         ]
-        self._finish(changed, now)
+        self._after_change(changed, now)
 
-    def clear(self, name: Fingerprint, now: float, early_only: bool = False) -> bool:
-        """Let a request count as any other; False: nothing spoke against it.
+    def clear(
+        self, fingerprint: Fingerprint, now: float, early_only: bool = False
+    ) -> bool:
+        """Clear the crashes of a request; return whether any still counted.
 
         Args:
-            name: The request.
+            fingerprint: Fingerprint of the request.
             now: Monotonic seconds.
-            early_only: Only crashes as it began are cleared.
+            early_only: Clear only crashes that happened early in a run.
         """
-        case = self._cases.get(name)
-        marks = [] if case is None else case.open_marks.values()
-        cleared = [mark for mark in marks if mark.early or not early_only]
-        for mark in cleared:
-            mark.cleared = True
+        record = self._records.get(fingerprint)
+        crash_records = [] if record is None else record.active_crash_records.values()
+        cleared = [
+            crash_record
+            for crash_record in crash_records
+            if crash_record.early or not early_only
+        ]
+        for crash_record in cleared:
+            crash_record.cleared = True
         if cleared:
-            self._finish([name], now)
+            self._after_change([fingerprint], now)
         return bool(cleared)
 
-    def excuse(self, targets: Iterable[str], now: float) -> list[Fingerprint]:
-        """Count a crash of several targets together for nobody.
+    def clear_outage(self, targets: Iterable[str], now: float) -> list[Fingerprint]:
+        """Clear the crashes of targets that ended together in one outage.
 
-        They ended by something else, such as the power of their data center. A request
-        that ran at more than one of them stays under suspicion.
+        Their cause is external, such as a power failure of the data center. A request
+        that ran on more than one of the targets stays under suspicion.
 
         Returns:
-            The requests for which something has changed.
+            Fingerprints of the requests that have changed.
         """
         wanted = set(targets)
         changed = []
-        for case in self._cases.values():
-            marks = [case.marks[name] for name in wanted & case.marks.keys()]
-            if len(marks) == 1 and not marks[0].cleared:
-                marks[0].cleared = True
-                changed.append(case.fingerprint)
-        self._finish(changed, now)
+        for record in self._records.values():
+            crash_records = [
+                record.crash_records[target]
+                for target in wanted & record.crash_records.keys()
+            ]
+            if len(crash_records) == 1 and not crash_records[0].cleared:
+                crash_records[0].cleared = True
+                changed.append(record.fingerprint)
+        self._after_change(changed, now)
         return changed
 
     def expire(self, now: float) -> None:
-        """Drop crashes that were too long ago."""
+        """Drop crashes older than the retention time."""
         if any(
-            mark.at < now - KEPT
-            for case in self._cases.values()
-            for mark in case.marks.values()
+            crash_record.at < now - RETENTION
+            for record in self._records.values()
+            for crash_record in record.crash_records.values()
         ):
-            for name, case in list(self._cases.items()):
-                case.forget_before(now - KEPT)
-                if not case.marks:
-                    del self._cases[name]
-            self._judge()
-
-    def merge(self, told: Iterable[CrashCase], now: float) -> None:
-        """Take in what another host knows."""
+            for fingerprint, record in list(self._records.items()):
+                record.drop_before(now - RETENTION)
+                if not record.crash_records:
+                    del self._records[fingerprint]
+            self._update_standings()
+
+    def merge(self, reported: Iterable[CrashCase], now: float) -> None:
+        """Merge the cases that another host has reported."""
         changed = set()
-        for case in told:
+        for case in reported:
             for mark in case.marks:
                 at = now - mark.age_ms / 1000
-                if now - at > KEPT:
+                if now - at > RETENTION:
                     continue
-                heard = Mark(at, mark.early, mark.alone, mark.cleared)
-                if self._add(case.fingerprint, case.service, mark.target, heard):
+                received = CrashRecord(at, mark.early, mark.alone, mark.cleared)
+                if self._add(case.fingerprint, case.service, mark.target, received):
                     changed.add(case.fingerprint)
         if changed:
-            self._finish(changed, now)
+            self._after_change(changed, now)
 
-    def share(self, now: float, most: int, least: int = 1) -> list[CrashCase]:
-        """Return what another host is told.
+    def select_cases(
+        self, now: float, max_cases: int, min_crashes: int = 1
+    ) -> list[CrashCase]:
+        """Select the records for one message to another host.
 
-        What is held back or doubtful and what is news goes first, then the others by
-        turns, few of those that most hosts know.
+        Blocked, doubtful and recently changed records come first. The others follow
+        round robin, with only a few of the settled ones.
 
         Args:
             now: Monotonic seconds.
-            most: Cases in one message.
-            least: Crashes that a request must have been beside.
+            max_cases: Maximum number of cases.
+            min_crashes: Minimum number of crashes of a case.
         """
-        cases = self.cases(least)
-        told = self._told_first(cases, now)[: most // 2]
-        names = {case.fingerprint for case in told}
-        rest = [case for case in cases if case.fingerprint not in names]
-        recent = [case for case in rest if now - case.changed_at < SETTLED]
-        settled = [case for case in rest if now - case.changed_at >= SETTLED]
-        turn = int(now / ROTATION)
-        room = most - len(told)
-        told += take_turn(recent, turn * room, room)
-        room = min(MOST_SETTLED, most - len(told))
-        told += take_turn(settled, turn * room, room)
-        return [case.tell(now) for case in told]
-
-    def _told_first(self, cases: list[Case], now: float) -> list[Case]:
-        """Return what is held back or doubtful, and behind it the news."""
-
-        def is_strict(case: Case) -> bool:
-            return self.standing(case.fingerprint) >= Standing.DOUBTFUL
-
-        first = [c for c in cases if is_strict(c) or now - c.changed_at < FRESH]
+        records = self.records(min_crashes)
+        selected = self._prioritised(records, now)[: max_cases // 2]
+        fingerprints = {record.fingerprint for record in selected}
+        rest = [record for record in records if record.fingerprint not in fingerprints]
+        recent = [record for record in rest if now - record.changed_at < SETTLED_AFTER]
+        settled = [
+            record for record in rest if now - record.changed_at >= SETTLED_AFTER
+        ]
+        turn = int(now / ROTATION_INTERVAL)
+        capacity = max_cases - len(selected)
+        selected += take_turn(recent, turn * capacity, capacity)
+        capacity = min(MAX_SETTLED, max_cases - len(selected))
+        selected += take_turn(settled, turn * capacity, capacity)
+        return [record.to_message(now) for record in selected]
+
+    def _prioritised(
+        self, records: list[SuspectRecord], now: float
+    ) -> list[SuspectRecord]:
+        """Return blocked and doubtful records, followed by those recently changed."""
+
+        def is_strict(record: SuspectRecord) -> bool:
+            return self.standing(record.fingerprint) >= Standing.DOUBTFUL
+
+        first = [
+            c for c in records if is_strict(c) or now - c.changed_at < PRIORITY_PERIOD
+        ]
         first.sort(
-            key=lambda case: (is_strict(case), len(case.open_marks), case.changed_at),
+            key=lambda record: (
+                is_strict(record),
+                len(record.active_crash_records),
+                record.changed_at,
+            ),
             reverse=True,
         )
         return first
 
-    def _add(self, name: Fingerprint, service: str, target: str, mark: Mark) -> bool:
-        case = self._cases.get(name)
-        if case is None:
-            case = self._cases[name] = Case(name, service)
-        return case.add(target, mark)
-
-    def _finish(self, changed: Iterable[Fingerprint], now: float) -> None:
-        """Bring the standings up to date after a change."""
-        cases = [self._cases[name] for name in changed]
-        for case in cases:
-            case.changed_at = now
-        if len(self._cases) > MOST_CASES:
-            self._drop_least()
-        # Most requests were beside one crash only, which decides nothing.
-        if any(len(case.marks) >= SUSPECT_FROM for case in cases):
-            self._judge()
-
-    def _judge(self) -> None:
-        former, self._standings = self._standings, judge(self._cases.values())
-        differ = [
-            case
-            for name in former.keys() | self._standings.keys()
-            if former.get(name) is not self._standings.get(name)
-            and (case := self._cases.get(name)) is not None
+    def _add(
+        self,
+        fingerprint: Fingerprint,
+        service: str,
+        target: str,
+        crash_record: CrashRecord,
+    ) -> bool:
+        record = self._records.get(fingerprint)
+        if record is None:
+            record = self._records[fingerprint] = SuspectRecord(fingerprint, service)
+        return record.add(target, crash_record)
+
+    def _after_change(self, changed: Iterable[Fingerprint], now: float) -> None:
+        """Update timestamps, table size and standings after a change."""
+        records = [self._records[fingerprint] for fingerprint in changed]
+        for record in records:
+            record.changed_at = now
+        if len(self._records) > MAX_RECORDS:
+            self._evict()
+        # Most requests have a single crash, which can't change any standing.
+        if any(len(record.crash_records) >= MIN_CRASHES_SUSPECT for record in records):
+            self._update_standings()
+
+    def _update_standings(self) -> None:
+        former, self._standings = (
+            self._standings,
+            suspicion_levels(self._records.values()),
+        )
+        affected = [
+            record
+            for fingerprint in former.keys() | self._standings.keys()
+            if former.get(fingerprint) is not self._standings.get(fingerprint)
+            and (record := self._records.get(fingerprint)) is not None
         ]
-        for case in differ:
-            before = former.get(case.fingerprint, Standing.CLEAR)
-            self._log_standing(case, before)
-        if differ and self._on_change is not None:
-            self._on_change(differ)
-
-    def _log_standing(self, case: Case, before: Standing) -> None:
-        standing = self.standing(case.fingerprint)
+        for record in affected:
+            before = former.get(record.fingerprint, Standing.CLEAR)
+            self._log_standing(record, before)
+        if affected and self._on_change is not None:
+            self._on_change(affected)
+
+    def _log_standing(self, record: SuspectRecord, before: Standing) -> None:
+        standing = self.standing(record.fingerprint)
         if max(standing, before) < Standing.DOUBTFUL:
-            # A crash makes suspects of dozens, and most are clear again in a moment.
+            # One crash makes dozens of requests suspects, and most are soon cleared.
             return
-        marks = case.open_marks
+        crash_records = record.active_crash_records
         fields = {
-            "fingerprint": case.fingerprint,
+            "fingerprint": record.fingerprint,
             "standing": standing.name.lower(),
             "former": before.name.lower(),
-            "service": case.service,
-            "crashes": len(marks),
-            "alone": sum(mark.alone for mark in marks.values()),
-            "targets": sorted(marks),
+            "service": record.service,
+            "crashes": len(crash_records),
+            "alone": sum(crash_record.alone for crash_record in crash_records.values()),
+            "targets": sorted(crash_records),
         }
         if standing is Standing.HELD:
             _log.warning("request held back", **fields)
         else:
             _log.info("standing of a request", **fields)
 
-    def _drop_least(self) -> None:
+    def _evict(self) -> None:
         ordered = sorted(
-            self._cases.values(),
-            key=lambda case: (len(case.open_marks), case.newest),
+            self._records.values(),
+            key=lambda record: (len(record.active_crash_records), record.last_crash_at),
             reverse=True,
         )
-        self._cases = {case.fingerprint: case for case in ordered[:MOST_CASES]}
+        self._records = {record.fingerprint: record for record in ordered[:MAX_RECORDS]}
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_watch.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_watch.py
@@ -1,4 +1,4 @@
-"""Which requests of this host ran at a target when it crashed."""
+"""Detection of target crashes and of this host's requests that were running there."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable, Iterable
@@ -14,38 +14,38 @@
 
 from ._fingerprint import RequestNames
 
-BROKEN_KEPT = 10.0
-"""Seconds for which a run that broke is kept: a silent target that has crashed is known
-by its next start, some seconds later."""
-MOST_BROKEN = 256
-"""Such runs kept for one target; it works on fewer at once."""
-TARGET_KEPT = 60.0
-"""Seconds for which a target is kept that nothing more is heard of."""
-HEARD_MARGIN = 0.1
-"""Seconds before the last sign of life of a target within which a run may have broken
-by its crash: signs come by several connections."""
-EARLY = 0.5
-"""Seconds after its first event within which a request that crashes its target does
-so. A suspect is on trial so long, and one that runs on hasn't crashed it."""
-MOST_NAMED = 8
-"""Runs that the line of a crash names."""
+FAILED_RUN_RETENTION = 10.0
+"""Seconds for which a failed run is kept. The crash of an unresponsive target is only
+detected some seconds later, when its next incarnation appears."""
+MAX_FAILED_RUNS = 256
+"""Maximum number of failed runs kept per target; it processes fewer runs at once."""
+TARGET_RETENTION = 60.0
+"""Seconds after its last activity for which a target is kept."""
+CONTACT_MARGIN = 0.1
+"""Seconds before the last activity of a target within which a failed run may still be
+due to its crash, as data arrives on several connections."""
+EARLY_PHASE = 0.5
+"""Seconds after its first event within which a harmful request crashes its target. A
+suspect is on trial for this time; if it runs on, it hasn't crashed the target."""
+MAX_LOGGED_RUNS = 8
+"""Maximum number of runs listed in the log line of a crash."""
 
 _log = get_logger("targets")
 
 
 @dataclass(eq=False)
 class WatchedRun:
-    """One try at a target.
+    """One attempt to run a request on a target; times are monotonic seconds.
 
     Attributes:
-        names: What was asked.
-        began: When it was sent.
-        first_event_at: When its first event came; 0: none did.
-        ended_at: When it broke; 0: it hasn't.
-        suspect: It was sent as a suspect, to a target without another one.
-        quiet: Nothing else that hadn't begun was known to be there.
-        followed: Another run was sent there while this one was on trial.
-        survived: It ran on past its beginning.
+        names: Fingerprints of the request.
+        began: Time at which it was sent.
+        first_event_at: Time of its first event; 0 if none has arrived.
+        ended_at: Time at which it ended; 0 while it runs.
+        suspect: Whether it was sent as a suspect, to a target without another suspect.
+        quiet: Whether no other run that had yet to begin was known on the target.
+        overlapped: Whether another run was sent to the target during the trial.
+        survived: Whether it ran on past the early phase.
     """
 
     names: RequestNames
@@ -54,37 +54,37 @@
     ended_at: float = 0.0
     suspect: bool = False
     quiet: bool = False
-    followed: bool = False
+    overlapped: bool = False
     survived: bool = False
 
     @property
     def is_early(self) -> bool:
-        """Tell whether it broke before it had run for long."""
+        """Return whether it ended in the early phase of its run."""
         if not self.first_event_at:
             return True
-        return self.ended_at - self.first_event_at <= EARLY
+        return self.ended_at - self.first_event_at <= EARLY_PHASE
 
     def is_on_trial(self, now: float) -> bool:
-        """Tell whether it is a suspect that has run for a short time only."""
+        """Return whether it is a suspect that is still in its early phase."""
         if not self.suspect:
             return False
-        return not self.first_event_at or now - self.first_event_at <= EARLY
+        return not self.first_event_at or now - self.first_event_at <= EARLY_PHASE
 
     @property
     def is_alone(self) -> bool:
-        """Tell whether nothing else can have crashed the target that broke it."""
+        """Return whether no other run can have caused the crash that ended it."""
         on_trial = self.is_on_trial(self.ended_at)
-        return on_trial and self.quiet and not self.followed
+        return on_trial and self.quiet and not self.overlapped
 
 
 @dataclass(frozen=True)
 class Crash:
-    """A target that ended while requests ran there.
+    """A target that crashed while requests were running on it.
 
     Attributes:
         target: The target.
-        at: When that was seen.
-        runs: Runs of this host that broke with it.
+        at: Monotonic time at which the crash was detected.
+        runs: Runs of this host that failed with it.
     """
 
     target: TargetInfo
@@ -93,40 +93,42 @@
 
 
 class CrashListener(Protocol):
-    """Who is told of crashes, and of requests that ran without one."""
+    """Receiver of crash reports and of runs that ended without a crash."""
 
     def note_crash(self, crash: Crash) -> None:
-        """Count a crash; told again for runs that break later by it."""
+        """Handle a crash; called again for runs that fail later because of it."""
 
     def note_survived(self, names: RequestNames) -> None:
-        """Count a request that has run on past its beginning."""
+        """Handle a request that has run past the early phase."""
 
     def note_answered(self, names: RequestNames) -> None:
-        """Count a request that a target has answered in whole."""
+        """Handle a request that a target has answered completely."""
 
 
 @dataclass(eq=False)
-class _Watched:
-    """What is known of one start of a target."""
+class _WatchedTarget:
+    """State of one incarnation of a target; times are monotonic seconds."""
 
     info: TargetInfo
-    heard_at: float
+    last_contact_at: float
     crashed_at: float = 0.0
-    broken: deque[WatchedRun] = field(default_factory=lambda: deque(maxlen=MOST_BROKEN))
+    failed_runs: deque[WatchedRun] = field(
+        default_factory=lambda: deque(maxlen=MAX_FAILED_RUNS)
+    )
     trials: set[WatchedRun] = field(default_factory=set)
-    looking: curio.Event | None = None
+    check_done: curio.Event | None = None
 
 
 class CrashWatch:
-    """Tells crashes of targets from all else that breaks a request.
+    """Distinguishes target crashes from other failures of requests.
 
-    A connection that is reset, a deadline or a cut link proves nothing of the target.
-    It has crashed where nothing listens any more just after it broke its requests, or
-    where another start answers at its address, and it wasn't to leave.
+    A connection reset, an expired deadline or a broken link doesn't prove a crash. A
+    target counts as crashed if its address refuses connections just after its requests
+    failed, or if another incarnation answers there, unless it was leaving anyway.
 
     Args:
-        is_refused: Tells whether nothing listens at an address.
-        listener: Is told what is seen.
+        is_refused: Returns whether an address refuses connections.
+        listener: Receives the crashes and the runs that ended without one.
         metrics: Counters.
     """
 
@@ -139,7 +141,7 @@
         self._is_refused = is_refused
         self._listener = listener
         self._metrics = metrics
-        self._targets: dict[str, _Watched] = {}
+        self._targets: dict[str, _WatchedTarget] = {}
         self._listed: set[str] = set()
 
     def begin(
@@ -149,140 +151,148 @@
         suspect: bool = False,
         quiet: bool = False,
     ) -> WatchedRun:
-        """Count a request that is sent to a target."""
+        """Register a run that is sent to a target."""
         now = monotonic()
         run = WatchedRun(names, now, suspect=suspect, quiet=quiet)
-        known = self._targets.get(target.incarnation)
-        if known is None:
-            self._forget_old(now)
-            known = self._targets[target.incarnation] = _Watched(target, now)
-        known.info = target
-        for other in known.trials:
-            other.followed = other.followed or other.is_on_trial(now)
+        watched = self._targets.get(target.incarnation)
+        if watched is None:
+            self._drop_stale(now)
+            watched = self._targets[target.incarnation] = _WatchedTarget(target, now)
+        watched.info = target
+        for other in watched.trials:
+            other.overlapped = other.overlapped or other.is_on_trial(now)
         if suspect:
-            known.trials.add(run)
+            watched.trials.add(run)
         return run
 
     def note_event(self, target: TargetInfo, run: WatchedRun) -> None:
-        """Count a sign of life in the answer to a run."""
+        """Record an event in the answer to a run."""
         now = monotonic()
         if not run.first_event_at:
             run.first_event_at = now
-        elif not run.survived and now - run.first_event_at > EARLY:
+        elif not run.survived and now - run.first_event_at > EARLY_PHASE:
             run.survived = True
             self._listener.note_survived(run.names)
-        self.note_heard(target, now)
+        self.record_contact(target, now)
 
     def note_answered(self, target: TargetInfo, run: WatchedRun) -> None:
-        """Count a run that ended with a whole answer."""
-        self._end(target, run)
-        self.note_heard(target, monotonic())
+        """Record that a run ended with a complete answer."""
+        self._end_run(target, run)
+        self.record_contact(target, monotonic())
         self._listener.note_answered(run.names)
 
     def note_not_run(self, target: TargetInfo, run: WatchedRun) -> None:
-        """Count a run that the target never began."""
-        self._end(target, run)
+        """Record that the target never began a run."""
+        self._end_run(target, run)
 
-    def note_heard(self, target: TargetInfo, now: float) -> None:
-        """Count a sign of life of a target."""
-        known = self._targets.get(target.incarnation)
-        if known is not None:
-            known.heard_at = now
+    def record_contact(self, target: TargetInfo, now: float) -> None:
+        """Record activity of a target."""
+        watched = self._targets.get(target.incarnation)
+        if watched is not None:
+            watched.last_contact_at = now
 
     def note_broken(self, target: TargetInfo, run: WatchedRun) -> None:
-        """Count a run that ended without a whole answer."""
-        known = self._end(target, run)
-        if known is None:
+        """Record that a run ended without a complete answer."""
+        watched = self._end_run(target, run)
+        if watched is None:
             return
-        if known.crashed_at:
-            if run.began < known.crashed_at:
-                self._tell(known, [run])
+        if watched.crashed_at:
+            if run.began < watched.crashed_at:
+                self._report(watched, [run])
             return
-        known.broken.append(run)
+        watched.failed_runs.append(run)
 
-    def _end(self, target: TargetInfo, run: WatchedRun) -> _Watched | None:
+    def _end_run(self, target: TargetInfo, run: WatchedRun) -> _WatchedTarget | None:
         run.ended_at = monotonic()
-        known = self._targets.get(target.incarnation)
-        if known is not None:
-            known.trials.discard(run)
-        return known
+        watched = self._targets.get(target.incarnation)
+        if watched is not None:
+            watched.trials.discard(run)
+        return watched
 
     async def look(self, target: TargetInfo) -> bool:
-        """Tell whether a target has crashed whose answer broke off just now.
+        """Check whether a target whose answer was just interrupted has crashed.
 
-        All requests that break together have it looked at once.
+        Requests that fail at the same time share one check.
         """
-        known = self._targets.get(target.incarnation)
-        if known is None or target.leaving:
+        watched = self._targets.get(target.incarnation)
+        if watched is None or target.leaving:
             return False
-        if known.crashed_at:
+        if watched.crashed_at:
             return True
-        if known.looking is not None:
-            await known.looking.wait()
-            return bool(known.crashed_at)
-        known.looking = curio.Event()
-        # What the other connections still deliver meanwhile is from before the crash.
-        heard_at = min(known.heard_at, monotonic())
+        if watched.check_done is not None:
+            await watched.check_done.wait()
+            return bool(watched.crashed_at)
+        watched.check_done = curio.Event()
+        # Data still arriving on other connections was sent before the crash.
+        last_contact_at = min(watched.last_contact_at, monotonic())
         try:
             if await self._is_refused(target.address):
-                known.heard_at = heard_at
-                self._note_crashed(known)
+                watched.last_contact_at = last_contact_at
+                self._note_crashed(watched)
         finally:
-            await known.looking.set()
-            known.looking = None
-        return bool(known.crashed_at)
+            await watched.check_done.set()
+            watched.check_done = None
+        return bool(watched.crashed_at)
 
     def note_replaced(self, target: TargetInfo) -> None:
-        """Count a target whose address another start answers at."""
-        known = self._targets.get(target.incarnation)
-        if known is not None and not known.crashed_at and not target.leaving:
-            self._note_crashed(known)
+        """Record that another incarnation answers at the address of a target."""
+        watched = self._targets.get(target.incarnation)
+        if watched is not None and not watched.crashed_at and not target.leaving:
+            self._note_crashed(watched)
 
     def note_listed(self, listed: Iterable[TargetInfo]) -> None:
-        """Look for new starts at the addresses of targets that requests were sent to.
+        """Check the target list for new incarnations at the addresses in use.
 
-        A target that has crashed stays listed for some seconds, maybe beside the next
-        start at its address: only one that wasn't listed before is the newer of them.
+        A crashed target stays listed for some seconds, possibly along with the next
+        incarnation at its address. Only an incarnation that wasn't listed before counts
+        as newer.
         """
         infos = {info.incarnation: info for info in listed}
-        for name in infos.keys() & self._targets.keys():
-            self._targets[name].info = infos[name]
-        started = {infos[name].address: name for name in infos.keys() - self._listed}
+        for incarnation in infos.keys() & self._targets.keys():
+            self._targets[incarnation].info = infos[incarnation]
+        started = {
+            infos[incarnation].address: incarnation
+            for incarnation in infos.keys() - self._listed
+        }
         self._listed = set(infos)
         if not started:
             return
-        for name, known in self._targets.items():
-            newer = started.get(known.info.address, name)
-            if newer != name and not known.crashed_at and not known.info.leaving:
-                self._note_crashed(known)
-
-    def _note_crashed(self, known: _Watched) -> None:
+        for incarnation, watched in self._targets.items():
+            newer = started.get(watched.info.address, incarnation)
+            if (
+                newer != incarnation
+                and not watched.crashed_at
+                and not watched.info.leaving
+            ):
+                self._note_crashed(watched)
+
+    def _note_crashed(self, watched: _WatchedTarget) -> None:
         now = monotonic()
-        known.crashed_at = now
+        watched.crashed_at = now
         runs = [
             run
-            for run in known.broken
-            if now - run.ended_at <= BROKEN_KEPT
-            and run.ended_at >= known.heard_at - HEARD_MARGIN
+            for run in watched.failed_runs
+            if now - run.ended_at <= FAILED_RUN_RETENTION
+            and run.ended_at >= watched.last_contact_at - CONTACT_MARGIN
         ]
-        known.broken.clear()
+        watched.failed_runs.clear()
         if runs:
-            self._tell(known, runs)
+            self._report(watched, runs)
 
-    def _tell(self, known: _Watched, runs: list[WatchedRun]) -> None:
+    def _report(self, watched: _WatchedTarget, runs: list[WatchedRun]) -> None:
         self._metrics.incr("crash.runs", len(runs))
         if len(runs) > 1 or runs[0].is_early:
-            self._log(known, runs)
-        self._listener.note_crash(Crash(known.info, known.crashed_at, runs))
+            self._log_crash(watched, runs)
+        self._listener.note_crash(Crash(watched.info, watched.crashed_at, runs))
 
-    def _log(self, known: _Watched, runs: list[WatchedRun]) -> None:
+    def _log_crash(self, watched: _WatchedTarget, runs: list[WatchedRun]) -> None:
         early = [run for run in runs if run.is_early]
-        newest = sorted(early, key=lambda run: -run.began)[:MOST_NAMED]
+        newest = sorted(early, key=lambda run: -run.began)[:MAX_LOGGED_RUNS]
         _log.warning(
             "target crashed",
-            target=known.info.incarnation,
-            address=known.info.address,
-            service=known.info.service,
+            target=watched.info.incarnation,
+            address=watched.info.address,
+            service=watched.info.service,
             runs=len(runs),
             early=len(early),
             newest={
@@ -290,7 +300,10 @@
             },
         )
 
-    def _forget_old(self, now: float) -> None:
-        for name, known in list(self._targets.items()):
-            if now - max(known.heard_at, known.crashed_at) > TARGET_KEPT:
-                del self._targets[name]
+    def _drop_stale(self, now: float) -> None:
+        for incarnation, watched in list(self._targets.items()):
+            if (
+                now - max(watched.last_contact_at, watched.crashed_at)
+                > TARGET_RETENTION
+            ):
+                del self._targets[incarnation]
--- a/packages/node/src/bronzepoint_node/quarantine/_fingerprint.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_fingerprint.py
@@ -1,4 +1,4 @@
-"""The names of what is asked, which stay the same when a caller asks again."""
+"""Fingerprints that identify a request when a caller repeats it."""
 
 from hashlib import blake2b
 
@@ -6,19 +6,19 @@
 
 from bronzepoint_schema.ids import Fingerprint
 
-SIZE = 16
-"""Bytes of a digest. Cryptographic, or one caller could make up a request that goes by
-the name of another's."""
-ANY_CALLER = "*"
-"""First letter of a name that leaves the caller out."""
+DIGEST_BYTES = 16
+"""Bytes of a digest. The hash is cryptographic, since otherwise a caller could craft a
+request with the fingerprint of another caller's."""
+ANY_CALLER_PREFIX = "*"
+"""Prefix of a fingerprint that doesn't include the caller."""
 
 
 class RequestNames(Struct, frozen=True):
-    """What a request is known by, whatever its id.
+    """Fingerprints of a request, independent of its request id.
 
     Attributes:
-        exact: Name of what one caller asks.
-        content: Name of what is asked, whoever asks: a caller's address may change.
+        exact: Fingerprint of the content and the caller.
+        content: Fingerprint of the content alone, as a caller's address may change.
     """
 
     exact: Fingerprint = Fingerprint("")
@@ -29,35 +29,35 @@
 
     @classmethod
     def parse(cls, text: str) -> "RequestNames":
-        """Read names that another host has sent; unreadable ones name nothing."""
+        """Parse fingerprints sent by another host; invalid text gives empty ones."""
         exact, _, content = text.partition(" ")
-        if len(exact) != 2 * SIZE or not is_any_caller(Fingerprint(content)):
+        if len(exact) != 2 * DIGEST_BYTES or not is_any_caller(Fingerprint(content)):
             return cls()
         return cls(Fingerprint(exact), Fingerprint(content))
 
 
 def name_request(host: str, path: str, caller: str, body: bytes) -> RequestNames:
-    """Return the names of a request.
+    """Return the fingerprints of a request.
 
     Args:
-        host: Host name that is asked for.
-        path: Path and query as they were sent.
-        caller: Who asks.
-        body: The whole body.
+        host: Requested host name.
+        path: Path and query as sent.
+        caller: Identity of the caller.
+        body: The complete body.
     """
-    digest = blake2b(digest_size=SIZE)
+    digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (host.encode(), path.encode()):
-        # With their lengths, no two requests give the same bytes.
+        # The length prefix keeps different requests from hashing the same bytes.
         digest.update(len(part).to_bytes(4))
         digest.update(part)
     digest.update(body)
     content = digest.hexdigest()
     digest.update(b"\0" + caller.encode())
     return RequestNames(
-        Fingerprint(digest.hexdigest()), Fingerprint(ANY_CALLER + content)
+        Fingerprint(digest.hexdigest()), Fingerprint(ANY_CALLER_PREFIX + content)
     )
 
 
 def is_any_caller(name: Fingerprint) -> bool:
-    """Tell whether a name leaves the caller out."""
-    return name.startswith(ANY_CALLER)
+    """Return whether a fingerprint doesn't include the caller."""
+    return name.startswith(ANY_CALLER_PREFIX)
--- a/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""What an entry host does with requests that were beside crashes of targets."""
+"""Admission of requests suspected of crashing targets, on an entry host."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -20,32 +20,32 @@
 )
 from bronzepoint_schema.ids import Fingerprint, HostName
 
-from ._case import Mark
+from ._case import CrashRecord
 from ._crash_table import CrashTable
 from ._crash_watch import Crash
 from ._fingerprint import RequestNames
 from ._standing import Standing
 
-MOST_TOLD = 24
-"""Requests in one notice, 2 KB; the others are told with the next questions to the
-core."""
+MAX_CASES_PER_NOTICE = 24
+"""Maximum number of records in one notice, about 2 KB. The others are sent with the
+next syncs with the core."""
 EXPIRY_INTERVAL = 1.0
-"""Seconds between two looks for crashes that are too long ago."""
+"""Seconds between two removals of expired crashes."""
 PERMIT_TIMEOUT = 0.4
-"""Seconds to wait for a permit to try a doubtful request: two of the longest trips."""
-TURN_STEP = 0.03
-"""Seconds between two looks whether another copy of a suspect has ended."""
-AGAIN_AFTER = 3.0
-"""Seconds after which a caller may come back where no host of the core has answered, or
-another copy of its request is on trial."""
-MOST_UNUSED = 64
-"""Permits that are kept for the next copy of a request, as it didn't run."""
-TOGETHER = 0.5
-"""Seconds within which crashes of one data center count as one event,"""
-MOST_TOGETHER = 2
-"""and targets up to which they don't."""
-MOST_LATEST = 64
-"""Crashes that are compared."""
+"""Seconds to wait for a permit for a trial: two of the longest round trips."""
+TRIAL_POLL_INTERVAL = 0.03
+"""Seconds between two checks whether the trial of another copy has ended."""
+RETRY_AFTER = 3.0
+"""Seconds after which a caller may retry if no core host has answered, or if another
+copy of its request is on trial."""
+MAX_UNUSED_PERMITS = 64
+"""Maximum number of unused permits that are kept for the next copy of a request."""
+OUTAGE_WINDOW = 0.5
+"""Seconds within which crashes in one data center count as one event."""
+MAX_INDEPENDENT_CRASHES = 2
+"""Number of targets up to which crashes at the same time don't count as one event."""
+MAX_RECENT_CRASHES = 64
+"""Maximum number of recent crashes that are checked for a common outage."""
 
 _log = get_logger("quarantine")
 
@@ -55,8 +55,8 @@
     """The request may be placed.
 
     Attributes:
-        suspect: It goes to a target apart from other suspects.
-        by_permit: A host of the core has permitted this trial.
+        suspect: Whether it must run on a target without other suspects.
+        by_permit: Whether a core host has granted a permit for this trial.
     """
 
     suspect: bool = False
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Held:
-    """The request may not reach a target.
+    """The request must not be sent to a target.
 
     Attributes:
         retry_after: Seconds until it may be tried again.
@@ -78,10 +78,10 @@
 
 
 class TrialEnd(Enum):
-    """How far the try of a suspect got.
+    """Outcome of the trial of a suspect.
 
-    USED: It may have run, or another host took it over. TURNED_AWAY: A target received
-    it and didn't run it. NOT_SENT: It reached no target.
+    USED: it may have run, or another host has taken it over. TURNED_AWAY: a target
+    received it but didn't run it. NOT_SENT: it reached no target.
     """
 
     USED = auto()
@@ -90,12 +90,12 @@
 
 
 class Quarantine:
-    """Decides by what all hosts have seen whether a request may be sent on, and how.
+    """Decides from the crashes seen by all hosts whether and how a request may run.
 
     Args:
-        table: What is known of crashes.
+        table: Known crashes.
         peers: Links to the other hosts.
-        core: Gives the hosts of the core.
+        core: Returns the core hosts.
         metrics: Counters.
     """
 
@@ -111,100 +111,103 @@
         self._core = core
         self._metrics = metrics
         self._trials: set[Fingerprint] = set()
-        self._unused: set[Fingerprint] = set()
-        self._turned_away: set[Fingerprint] = set()
-        self._latest: deque[Crash] = deque(maxlen=MOST_LATEST)
+        self._unused_permits: set[Fingerprint] = set()
+        self._returned_permits: set[Fingerprint] = set()
+        self._recent_crashes: deque[Crash] = deque(maxlen=MAX_RECENT_CRASHES)
         self._task: curio.Task | None = None
-        peers.register(Area.QUARANTINE, QuarantineMessage, self._take)
+        peers.register(Area.QUARANTINE, QuarantineMessage, self._handle)
 
     async def start(self) -> None:
-        """Begin to forget what is too long ago."""
+        """Start the removal of expired crashes."""
         self._task = await curio.spawn(self._expire, daemon=True)
 
     async def close(self) -> None:
-        """Stop forgetting."""
+        """Stop the removal of expired crashes."""
         if self._task is not None:
             await self._task.cancel()
 
-    async def _take(self, peer: HostName, message: QuarantineMessage) -> None:
+    async def _handle(self, peer: HostName, message: QuarantineMessage) -> None:
         if isinstance(message, CrashNotice):
             self._table.merge(message.cases, monotonic())
 
     def note_crash(self, crash: Crash) -> None:
-        """Count a crash for the requests of this host that ran there."""
+        """Record a crash for the requests of this host that ran on the target."""
         target = crash.target.incarnation
-        marks: dict[Fingerprint, Mark] = {}
+        crash_records: dict[Fingerprint, CrashRecord] = {}
         for run in crash.runs:
-            for name in _both(run.names):
-                mark = Mark(crash.at, run.is_early, run.is_alone)
-                marks.setdefault(name, mark).join(mark)
+            for fingerprint in _fingerprints(run.names):
+                crash_record = CrashRecord(crash.at, run.is_early, run.is_alone)
+                crash_records.setdefault(fingerprint, crash_record).merge(crash_record)
         now = monotonic()
-        self._table.note(marks, crash.target.service, target, now)
-        self._excuse_outage(crash, now)
-        self._tell(marks)
+        self._table.record_crash(crash_records, crash.target.service, target, now)
+        self._clear_outage(crash, now)
+        self._report(crash_records)
 
     def note_survived(self, names: RequestNames) -> None:
-        """Count a run that went on past its beginning: it didn't crash its target."""
+        """Clear early crashes of a request that has run past the early phase."""
         self._clear(names, early_only=True)
 
     def note_answered(self, names: RequestNames) -> None:
-        """Count a whole answer of a target: the request crashes none."""
+        """Clear all crashes of a request that a target has answered completely."""
         self._clear(names)
 
     def _clear(self, names: RequestNames, early_only: bool = False) -> None:
-        for name in _both(names):
-            if name not in self._table:
+        for fingerprint in _fingerprints(names):
+            if fingerprint not in self._table:
                 continue
-            if self._table.clear(name, monotonic(), early_only):
+            if self._table.clear(fingerprint, monotonic(), early_only):
                 self._metrics.incr("quarantine.cleared")
-                self._tell([name])
+                self._report([fingerprint])
 
-    def _excuse_outage(self, crash: Crash, now: float) -> None:
-        """Blame nobody where many targets of a data center end together."""
-        self._latest.append(crash)
-        place = crash.target.data_center
-        together = {
+    def _clear_outage(self, crash: Crash, now: float) -> None:
+        """Clear the crashes if many targets of one data center ended together."""
+        self._recent_crashes.append(crash)
+        data_center = crash.target.data_center
+        crashed_together = {
             other.target.incarnation
-            for other in self._latest
-            if other.target.data_center == place and now - other.at <= TOGETHER
+            for other in self._recent_crashes
+            if other.target.data_center == data_center
+            and now - other.at <= OUTAGE_WINDOW
         }
-        if len(together) > MOST_TOGETHER:
-            self._tell(self._table.excuse(together, now))
+        if len(crashed_together) > MAX_INDEPENDENT_CRASHES:
+            self._report(self._table.clear_outage(crashed_together, now))
 
     def standing(self, names: RequestNames) -> Standing:
-        """Return how a request is treated now."""
+        """Return the current standing of a request."""
         return self._table.standing_of(names)
 
     async def admit(
         self, names: RequestNames, until: float, has_permit: bool = False
     ) -> Admission:
-        """Return whether a request may be placed; ``end_trial`` after a suspect's try.
+        """Return whether a request may be placed.
+
+        After the trial of a suspect, the caller must call ``end_trial``.
 
         Args:
-            names: The request.
-            until: Until when it may wait for another copy of itself.
-            has_permit: A host of the core has permitted it already.
+            names: Fingerprints of the request.
+            until: Monotonic time until which it may wait for another copy's trial.
+            has_permit: Whether a core host has already granted a permit.
         """
         while names.content in self._trials and self._is_on_trial(names):
             if monotonic() >= until:
-                return Held(AGAIN_AFTER)
-            await curio.sleep(TURN_STEP)
+                return Held(RETRY_AFTER)
+            await curio.sleep(TRIAL_POLL_INTERVAL)
         match self.standing(names):
             case Standing.CLEAR:
                 return Admitted()
             case Standing.HELD:
-                return Held(self._table.held_for(names.exact, monotonic()))
+                return Held(self._table.blocked_for(names.exact, monotonic()))
             case Standing.SUSPECT:
                 self._trials.add(names.content)
                 return Admitted(suspect=True)
         self._trials.add(names.content)
-        admission: Admission = Held(AGAIN_AFTER)
+        admission: Admission = Held(RETRY_AFTER)
         try:
-            if has_permit or names.content in self._unused:
-                self._unused.discard(names.content)
+            if has_permit or names.content in self._unused_permits:
+                self._unused_permits.discard(names.content)
                 admission = Admitted(suspect=True, by_permit=True)
             else:
-                admission = await self._ask_permit(names.content)
+                admission = await self._request_permit(names.content)
         finally:
             if isinstance(admission, Held):
                 self._trials.discard(names.content)
@@ -214,37 +217,36 @@
         return self.standing(names) in (Standing.SUSPECT, Standing.DOUBTFUL)
 
     def end_trial(self, names: RequestNames, end: TrialEnd = TrialEnd.USED) -> None:
-        """Let the next copy of a suspect be tried.
+        """End a trial, so that the next copy of the request may be tried.
 
         Args:
-            names: The request.
-            end: How far this one got; with a permit that wasn't used, the next copy
-                needs none.
+            names: Fingerprints of the request.
+            end: Outcome of the trial. An unused permit passes to the next copy.
         """
-        name = names.content
-        self._trials.discard(name)
-        if len(self._unused) >= MOST_UNUSED:
+        fingerprint = names.content
+        self._trials.discard(fingerprint)
+        if len(self._unused_permits) >= MAX_UNUSED_PERMITS:
             return
         match end:
             case TrialEnd.NOT_SENT:
-                self._unused.add(name)
-            case TrialEnd.TURNED_AWAY if name not in self._turned_away:
-                # Once only: each time a target is reached.
-                self._unused.add(name)
-                self._turned_away.add(name)
-
-    async def _ask_permit(self, name: Fingerprint) -> Admission:
-        """Ask the host of the core that all hosts ask about this request."""
-        core = rendezvous_order(name, self._core())
+                self._unused_permits.add(fingerprint)
+            case TrialEnd.TURNED_AWAY if fingerprint not in self._returned_permits:
+                # The permit is returned only once, as each attempt reaches a target.
+                self._unused_permits.add(fingerprint)
+                self._returned_permits.add(fingerprint)
+
+    async def _request_permit(self, fingerprint: Fingerprint) -> Admission:
+        """Request a permit from the core host responsible for this fingerprint."""
+        core = rendezvous_order(fingerprint, self._core())
         if not core:
-            return Held(AGAIN_AFTER)
+            return Held(RETRY_AFTER)
         try:
             reply = await self._peers.call(
-                core[0], Area.QUARANTINE, TrialRequest(name), PERMIT_TIMEOUT
+                core[0], Area.QUARANTINE, TrialRequest(fingerprint), PERMIT_TIMEOUT
             )
         except PeerError as exc:
             _log.info("no permit for a trial", core=core[0], reason=str(exc))
-            return Held(AGAIN_AFTER)
+            return Held(RETRY_AFTER)
         match reply:
             case TrialReply(granted=True):
                 self._metrics.incr("quarantine.trial_granted")
@@ -252,21 +254,30 @@
             case TrialReply(retry_ms=retry_ms):
                 self._metrics.incr("quarantine.trial_denied")
                 return Held(retry_ms / 1000)
-        return Held(AGAIN_AFTER)
+        return Held(RETRY_AFTER)
 
-    def _tell(self, names: Iterable[Fingerprint]) -> None:
-        """Tell the whole core at once what may decide about a request.
+    def _report(self, fingerprints: Iterable[Fingerprint]) -> None:
+        """Send the records with early crashes to all core hosts at once.
 
-        A notice that is lost, and what else there is, goes along with the questions
-        that this host asks anyway.
+        Lost notices and the remaining records reach the core with the regular syncs.
         """
-        cases = [case for name in names if (case := self._table.case(name))]
-        urgent = [case for case in cases if any(m.early for m in case.marks.values())]
-        urgent.sort(key=lambda case: len(case.open_marks), reverse=True)
+        records = [
+            record
+            for fingerprint in fingerprints
+            if (record := self._table.record(fingerprint))
+        ]
+        urgent = [
+            record
+            for record in records
+            if any(crash.early for crash in record.crash_records.values())
+        ]
+        urgent.sort(key=lambda record: len(record.active_crash_records), reverse=True)
         if not urgent:
             return
         now = monotonic()
-        notice = CrashNotice([case.tell(now) for case in urgent[:MOST_TOLD]])
+        notice = CrashNotice(
+            [record.to_message(now) for record in urgent[:MAX_CASES_PER_NOTICE]]
+        )
         for host in self._core():
             self._peers.post(host, Area.QUARANTINE, notice)
 
@@ -274,9 +285,11 @@
         while True:
             await curio.sleep(EXPIRY_INTERVAL)
             self._table.expire(monotonic())
-            self._turned_away = {n for n in self._turned_away if n in self._table}
+            self._returned_permits = {
+                n for n in self._returned_permits if n in self._table
+            }
 
 
-def _both(names: RequestNames) -> list[Fingerprint]:
-    """Return the names that a request has; another version's host gives it none."""
-    return [name for name in (names.exact, names.content) if name]
+def _fingerprints(names: RequestNames) -> list[Fingerprint]:
+    """Return the non-empty fingerprints; hosts of another version may send none."""
+    return [fingerprint for fingerprint in (names.exact, names.content) if fingerprint]
--- a/packages/node/src/bronzepoint_node/quarantine/_standing.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_standing.py
@@ -1,4 +1,4 @@
-"""What the crashes that requests were beside say of each of them."""
+"""Classification of requests by the target crashes they were involved in."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -6,27 +6,28 @@
 
 from bronzepoint_schema.ids import Fingerprint
 
-from ._case import Case, Mark
+from ._case import CrashRecord, SuspectRecord
 from ._fingerprint import is_any_caller
 
-SUSPECT_FROM = 2
-"""Crashes as it began from which a request is a suspect: one says nothing, as all that
-ran there saw it."""
-HELD_FROM = 3
-"""Such crashes from which a request is held back, if it was alone at one of them."""
-HELD_ANYWAY_FROM = 5
-"""Such crashes from which it is held back whatever else ran there."""
-HELD_LATE_FROM = 6
-"""Crashes at any moment of its runs from which it is held back: a stream that flowed
-each time is most likely a bystander."""
+MIN_CRASHES_SUSPECT = 2
+"""Number of early crashes from which a request is a suspect. A single crash proves
+nothing, as it affects every request that ran on the target."""
+MIN_CRASHES_BLOCKED = 3
+"""Number of early crashes from which a request is blocked, if it ran alone in one of
+them."""
+MIN_CRASHES_BLOCKED_UNPROVEN = 5
+"""Number of early crashes from which a request is blocked in any case."""
+MIN_CRASHES_BLOCKED_LATE = 6
+"""Number of crashes at any point of its runs from which a request is blocked. It is
+higher since a stream that had been running each time is most likely unrelated."""
 
 
 class Standing(IntEnum):
-    """How a request is treated, the strictest last.
+    """Treatment of a request, in order of strictness.
 
-    CLEAR: as any other. SUSPECT: on trial, apart from other suspects and where little
-    else runs. DOUBTFUL: on trial, too, but only by permit of one host for the whole
-    system. HELD: not sent to any target.
+    CLEAR: no restrictions. SUSPECT: runs on trial, apart from other suspects and on a
+    target with little other work. DOUBTFUL: runs on trial, but only with a permit from
+    the one host that grants it for the whole system. HELD: not sent to any target.
     """
 
     CLEAR = 0
@@ -35,87 +36,91 @@
     HELD = 3
 
 
-Marks = dict[str, Mark]
+CrashRecords = dict[str, CrashRecord]
 
 
-def judge(cases: Iterable[Case]) -> dict[Fingerprint, Standing]:
+def suspicion_levels(records: Iterable[SuspectRecord]) -> dict[Fingerprint, Standing]:
     """Return the standing of each request that isn't clear.
 
-    A crash has one culprit. All that ran there saw it, and a popular request, or a
-    batch of streams that went on together, may have seen each of several. So what a
-    request that is held back explains counts for no other.
+    A crash has one cause but affects every request that ran on the target. A frequent
+    request, or a batch of streams that moved on together, may be involved in several
+    crashes. Crashes attributed to a blocked request thus don't count against others.
     """
-    open_marks = {
-        case.fingerprint: marks
-        for case in cases
-        if len(case.marks) >= SUSPECT_FROM
-        and len(marks := case.open_marks) >= SUSPECT_FROM
+    active_crash_records = {
+        record.fingerprint: crash_records
+        for record in records
+        if len(record.crash_records) >= MIN_CRASHES_SUSPECT
+        and len(crash_records := record.active_crash_records) >= MIN_CRASHES_SUSPECT
     }
-    proofs = _proofs(open_marks)
+    proven_crashes = _proven_crashes(active_crash_records)
     ordered = sorted(
-        open_marks,
-        key=lambda name: (
-            _is_proved(open_marks[name], proofs[name]),
-            _early(open_marks[name]),
+        active_crash_records,
+        key=lambda fingerprint: (
+            _is_proven_cause(
+                active_crash_records[fingerprint], proven_crashes[fingerprint]
+            ),
+            _count_early(active_crash_records[fingerprint]),
         ),
         reverse=True,
     )
-    explained: set[str] = set()
+    attributed: set[str] = set()
     standings = {}
-    for name in ordered:
-        proved = proofs[name]
-        left = {
-            target: mark
-            for target, mark in open_marks[name].items()
-            if target in proved or target not in explained
+    for fingerprint in ordered:
+        proven = proven_crashes[fingerprint]
+        counted = {
+            target: crash_record
+            for target, crash_record in active_crash_records[fingerprint].items()
+            if target in proven or target not in attributed
         }
-        standing = _standing(left, proved)
-        if is_any_caller(name):
-            # Another caller's request may be sound: it is tried, by permit.
+        standing = _classify(counted, proven)
+        if is_any_caller(fingerprint):
+            # The content may be harmless from another caller, so it is never blocked.
             standing = min(standing, Standing.DOUBTFUL)
         elif standing is Standing.HELD:
-            explained.update(open_marks[name])
+            attributed.update(active_crash_records[fingerprint])
         if standing is not Standing.CLEAR:
-            standings[name] = standing
+            standings[fingerprint] = standing
     return standings
 
 
-def _proofs(open_marks: dict[Fingerprint, Marks]) -> dict[Fingerprint, set[str]]:
-    """Return at which crashes each request was alone, if nobody else claims it.
+def _proven_crashes(
+    active_crash_records: dict[Fingerprint, CrashRecords],
+) -> dict[Fingerprint, set[str]]:
+    """Return the crashes in which each request was the only suspect.
 
-    Hosts that know nothing of each other may send two suspects to one target, and each
-    takes its own for the only one.
+    Hosts that haven't synced may send two suspects to one target, and each host reports
+    its own as alone. A crash that several requests claim proves nothing.
     """
     claims = Counter(
-        (is_any_caller(name), target)
-        for name, marks in open_marks.items()
-        for target, mark in marks.items()
-        if mark.alone
+        (is_any_caller(fingerprint), target)
+        for fingerprint, crash_records in active_crash_records.items()
+        for target, crash_record in crash_records.items()
+        if crash_record.alone
     )
     return {
-        name: {
+        fingerprint: {
             target
-            for target, mark in marks.items()
-            if mark.alone and claims[is_any_caller(name), target] == 1
+            for target, crash_record in crash_records.items()
+            if crash_record.alone and claims[is_any_caller(fingerprint), target] == 1
         }
-        for name, marks in open_marks.items()
+        for fingerprint, crash_records in active_crash_records.items()
     }
 
 
-def _early(marks: Marks) -> int:
-    return sum(mark.early for mark in marks.values())
+def _count_early(crash_records: CrashRecords) -> int:
+    return sum(crash_record.early for crash_record in crash_records.values())
 
 
-def _is_proved(marks: Marks, proved: set[str]) -> bool:
-    return bool(proved) and _early(marks) >= HELD_FROM
+def _is_proven_cause(crash_records: CrashRecords, proven: set[str]) -> bool:
+    return bool(proven) and _count_early(crash_records) >= MIN_CRASHES_BLOCKED
 
 
-def _standing(marks: Marks, proved: set[str]) -> Standing:
-    early = _early(marks)
-    if _is_proved(marks, proved) or early >= HELD_ANYWAY_FROM:
+def _classify(crash_records: CrashRecords, proven: set[str]) -> Standing:
+    early = _count_early(crash_records)
+    if _is_proven_cause(crash_records, proven) or early >= MIN_CRASHES_BLOCKED_UNPROVEN:
         return Standing.HELD
-    if len(marks) >= HELD_LATE_FROM:
+    if len(crash_records) >= MIN_CRASHES_BLOCKED_LATE:
         return Standing.HELD
-    if early >= HELD_FROM:
+    if early >= MIN_CRASHES_BLOCKED:
         return Standing.DOUBTFUL
-    return Standing.SUSPECT if early >= SUSPECT_FROM else Standing.CLEAR
+    return Standing.SUSPECT if early >= MIN_CRASHES_SUSPECT else Standing.CLEAR
--- a/tests/_crashing_site.py
+++ b/tests/_crashing_site.py
@@ -1,4 +1,4 @@
-"""Targets that one request crashes, behind the platform's programs, and callers."""
+"""A platform deployment whose targets crash on one request, and its callers."""
 
 import http.client
 import itertools
@@ -11,60 +11,64 @@
 from tests._platform_site import PlatformSite
 from tests._stand_in_target import StandInTarget
 
-CONTACT = 6.0
-"""Seconds after the third crash from which each further arrival counts."""
-MOST_ARRIVALS = 3
-"""Further arrivals that are allowed then."""
-BACK_AFTER = 1.0
-"""Seconds after which a crashed target is back."""
+SETTLE_TIME = 6.0
+"""Seconds after the third crash from which arrivals count against the limit."""
+MAX_ARRIVALS = 3
+"""Maximum number of arrivals of the harmful request after ``SETTLE_TIME``."""
+RESTART_DELAY = 1.0
+"""Seconds after which a crashed target has restarted."""
 CRASH_DELAY = 0.03
 """Seconds from the beginning of a run to the crash."""
 POISON_INTERVAL = 0.4
+"""Seconds between two harmful requests."""
 PLAIN_INTERVAL = 0.1
+"""Seconds between two plain requests."""
 SLOW_EVENT = 0.15
 """Seconds between two events of a slow stream."""
 POISON = b"crash"
-SLOW = b"slow"
+"""Body of the harmful request."""
+SLOW_STREAM = b"slow"
 """Body of a stream that takes longer than the time between two crashes."""
 STREAM_INTERVAL = 0.2
-QUEUE = 0.3
-"""Seconds that a busy target takes to begin a request."""
-WHOLE = 20
-"""Events of a slow stream."""
+"""Seconds between the starts of two streams."""
+QUEUE_DELAY = 0.3
+"""Seconds for which a busy target queues a request."""
+STREAM_EVENTS = 20
+"""Number of events of a slow stream."""
 CORES = {f"core-{n}": ("core", f"127.0.0.{10 + n}") for n in (1, 2, 3)}
 ENTRIES = {f"entry-{n}": ("entry", f"127.0.0.{20 + n}") for n in (1, 2, 3)}
 
 
 class CrashingTarget(StandInTarget):
-    """Ends with all that runs there when it begins the one request, and is back soon.
+    """Stub target that crashes when it runs the harmful request and restarts soon.
 
     Attributes:
-        arrivals: When that request reached it.
-        crashes: When it ended.
+        arrivals: Monotonic times at which the harmful request arrived.
+        crashes: Monotonic times of its crashes.
     """
 
     def __init__(self, name, ip, port, site, keeps_id=False, queue=0.0):
         super().__init__(name, ip, port)
         self.queue = queue
-        self.base = name
+        self.base_name = name
         self.site = site
         self.keeps_id = keeps_id
         self.starts = 0
         self.is_down = False
         self.arrivals = []
         self.crashes = []
-        self._returning = None
+        self._restart_task = None
 
     async def _answer(self, exchange):
         body = await exchange.body()
         if body.startswith(POISON):
             self.arrivals.append(monotonic())
-        if body.startswith((POISON, SLOW)):
+        if body.startswith((POISON, SLOW_STREAM)):
             await curio.sleep(self.queue)
         if body.startswith(POISON):
             await self._begin(exchange)
             return
-        if body.startswith(SLOW):
+        if body.startswith(SLOW_STREAM):
             await self._stream_slowly(exchange)
             return
         await super()._answer(exchange)
@@ -83,7 +87,7 @@
     async def _stream_slowly(self, exchange):
         first = int(exchange.request.headers.get("last-event-id", "0")) + 1
         await exchange.start_stream(200, self._headers(exchange))
-        for number in range(first, WHOLE + 1):
+        for number in range(first, STREAM_EVENTS + 1):
             await exchange.send(f"id: {number}\ndata: {number}\n\n".encode())
             await curio.sleep(SLOW_EVENT)
         await exchange.end()
@@ -100,20 +104,20 @@
             return
         self.is_down = True
         self.crashes.append(monotonic())
-        self._returning = await curio.spawn(self._end_and_return, daemon=True)
+        self._restart_task = await curio.spawn(self._restart, daemon=True)
 
     async def stay_down(self):
-        """Start no server any more: the site ends."""
+        """Stop restarting, as the site is being closed."""
         self.is_down = True
-        if self._returning is not None:
-            await self._returning.cancel()
+        if self._restart_task is not None:
+            await self._restart_task.cancel()
 
-    async def _end_and_return(self):
+    async def _restart(self):
         await self.server.close(0)
-        await curio.sleep(BACK_AFTER)
+        await curio.sleep(RESTART_DELAY)
         self.starts += 1
         if not self.keeps_id:
-            self.name = f"{self.base}-{self.starts}"
+            self.name = f"{self.base_name}-{self.starts}"
         self.server = HttpServer(self._answer, HttpLimits())
         await self.server.start(self.address)
         self.is_down = False
@@ -125,13 +129,13 @@
 
 
 class CrashingSite(PlatformSite):
-    """Hosts before targets of that kind.
+    """Host processes with targets that crash on the harmful request.
 
     Args:
-        keeps_id: Targets start again under the id that they had.
+        keeps_id: Whether targets keep their id when they restart.
         hosts: Role and address of each host.
-        targets: How many there are.
-        queue: Seconds that targets take to begin a request.
+        targets: Number of targets.
+        queue: Seconds for which targets queue a request.
         elsewhere: Hosts of another region, which has no targets.
     """
 
@@ -153,14 +157,14 @@
         self.listed = [target.listed() for target in self.targets]
 
     def addresses(self):
-        """Return where entry hosts that live take requests."""
+        """Return the addresses at which live entry hosts accept requests."""
         found = [
             f"{ip}:{self.front}"
             for name, (role, ip) in self.hosts.items()
             if role == "entry" and self.processes[name].poll() is None
         ]
         if not found:
-            raise AssertionError(f"no entry host lives: {self.told()}")
+            raise AssertionError(f"no live entry host: {self.told()}")
         return found
 
     def crashes(self):
@@ -170,16 +174,16 @@
         return sorted(at for target in self.targets for at in target.arrivals)
 
     def late_arrivals(self):
-        """Return the arrivals that count against the bound."""
+        """Return the arrivals that count against ``MAX_ARRIVALS``."""
         crashes = self.crashes()
         if len(crashes) < 3:
             return []
-        return [at for at in self.arrivals() if at > crashes[2] + CONTACT]
+        return [at for at in self.arrivals() if at > crashes[2] + SETTLE_TIME]
 
 
 @dataclass
-class Seen:
-    """What callers were told: when they asked, the status, and what the head said."""
+class Results:
+    """Results of the callers' requests, each with the time at which it was sent."""
 
     poison: list = field(default_factory=list)
     plain: list = field(default_factory=list)
@@ -188,12 +192,13 @@
 
 
 class Callers:
-    """One caller that repeats the one request, others with plain ones and streams.
+    """A caller that repeats the harmful request, and callers with other requests.
 
     Args:
-        site: The hosts.
-        path: Path of the one request.
-        sources: Addresses that its caller comes from by turns; empty: always the same.
+        site: The deployment.
+        path: Path of the harmful request.
+        sources: Source addresses of the harmful request, used round robin; empty to
+            use the default address.
     """
 
     def __init__(self, site, path, sources=()):
@@ -201,10 +206,10 @@
         self._path = path
         self._sources = itertools.cycle(sources) if sources else None
         self._numbers = itertools.count()
-        self.seen = Seen()
+        self.results = Results()
 
     async def ask(self, address, path, body, wait=4.0):
-        """Return the answer, or the error's name."""
+        """Send a request; return the answer or the name of the error."""
         headers = {
             "X-Bronzepoint-Request-Id": f"id-{next(self._numbers)}",
             "X-Bronzepoint-Deadline-Ms": str(int(wait * 1000)),
@@ -218,21 +223,21 @@
 
     async def repeat_poison(self):
         for number in itertools.count():
-            if self.seen.stop:
+            if self.results.stop:
                 return
             addresses = self._site.addresses()
             address = addresses[number % len(addresses)]
-            await curio.spawn(self._poison_once, address, daemon=True)
+            await curio.spawn(self._send_poison, address, daemon=True)
             await curio.sleep(POISON_INTERVAL)
 
-    async def _poison_once(self, address):
+    async def _send_poison(self, address):
         began = monotonic()
         if self._sources is None:
             answer = await self.ask(address, self._path, POISON)
         else:
             source = next(self._sources)
             answer = await curio.run_in_thread(self._ask_from, source, address)
-        self.seen.poison.append((began, monotonic() - began, answer))
+        self.results.poison.append((began, monotonic() - began, answer))
 
     def _ask_from(self, source, address):
         host, _, port = address.rpartition(":")
@@ -253,9 +258,9 @@
             conn.close()
 
     async def send_streams(self):
-        """Begin streams all the time; each caller that is cut asks once more."""
+        """Start streams continuously; an incomplete one is requested once more."""
         for number in itertools.count():
-            if self.seen.stop:
+            if self.results.stop:
                 return
             await curio.spawn(self._stream, number, daemon=True)
             await curio.sleep(STREAM_INTERVAL)
@@ -266,45 +271,52 @@
             addresses = self._site.addresses()
             address = addresses[(number + attempt) % len(addresses)]
             path = f"/stream/busy-{number}"
-            answer = await self.ask(address, path, SLOW, wait=10.0)
-            whole = getattr(answer, "body", b"").count(b"id: ") == WHOLE
-            if whole:
+            answer = await self.ask(address, path, SLOW_STREAM, wait=10.0)
+            complete = getattr(answer, "body", b"").count(b"id: ") == STREAM_EVENTS
+            if complete:
                 break
-        self.seen.streams.append((began, whole, getattr(answer, "status", answer)))
+        self.results.streams.append(
+            (began, complete, getattr(answer, "status", answer))
+        )
 
     async def send_plain(self):
         for number in itertools.count():
-            if self.seen.stop:
+            if self.results.stop:
                 return
             addresses = self._site.addresses()
-            # A third of them are all alike: what many ask for runs beside any crash.
+            # A third of them are identical, as a frequent request is in progress at
+            # any target that crashes.
             body = b"alike" if number % 3 == 0 else b"plain %d" % number
             address = addresses[number % len(addresses)]
-            await curio.spawn(self._plain_once, address, body, daemon=True)
+            await curio.spawn(self._send_plain, address, body, daemon=True)
             await curio.sleep(PLAIN_INTERVAL)
 
-    async def _plain_once(self, address, body):
+    async def _send_plain(self, address, body):
         began = monotonic()
         answer = await self.ask(address, "/safe/plain", body)
-        self.seen.plain.append((began, getattr(answer, "status", answer), body))
+        self.results.plain.append((began, getattr(answer, "status", answer), body))
 
     async def run(self, seconds, *more):
-        """Let all of them ask for some seconds."""
+        """Run all callers for some seconds."""
         async with curio.TaskGroup() as group:
             await group.spawn(self.repeat_poison)
             await group.spawn(self.send_plain)
             for each in more:
                 await group.spawn(each)
             await curio.sleep(seconds)
-            self.seen.stop = True
+            self.results.stop = True
         await curio.sleep(0.5)
 
-    def streamed(self, since):
-        """Return which part of the streams begun from a moment on came whole."""
-        found = [whole for began, whole, _ in self.seen.streams if began > since]
+    def stream_success_rate(self, since):
+        """Return the share of streams started after ``since`` that were complete."""
+        found = [
+            complete for began, complete, _ in self.results.streams if began > since
+        ]
         return sum(found) / max(1, len(found))
 
-    def served(self, since):
-        """Return which part of the plain requests from a moment on was served."""
-        found = [status == 200 for began, status, _ in self.seen.plain if began > since]
+    def plain_success_rate(self, since):
+        """Return the share of plain requests sent after ``since`` that succeeded."""
+        found = [
+            status == 200 for began, status, _ in self.results.plain if began > since
+        ]
         return sum(found) / max(1, len(found))
--- a/tests/_large_manifest.py
+++ b/tests/_large_manifest.py
@@ -1,4 +1,4 @@
-"""Documents of many routes."""
+"""Catalogue documents with many routes."""
 
 import json
 
