--- a/tests/test_fleet_knowledge.py
+++ b/tests/test_fleet_knowledge.py
@@ -1,4 +1,4 @@
-"""What entry hosts and the core know of each other, and how it grows old."""
+"""Registry of live hosts, and synchronisation of an entry host with the core."""
 
 import unittest
 from unittest import mock
@@ -35,23 +35,23 @@
     return EntryHost(name, "r", "z", "a", "f", state, age_ms)
 
 
-def listing(age_ms=0, name="t1", base="", gone=()):
+def make_target_list(age_ms=0, name="t1", base="", gone=()):
     info = TargetInfo(name, "s", "10.0.0.1:80", "z", 4, False, 0)
     return TargetList(f"of {name}", base, age_ms, [info], list(gone))
 
 
-def whole_document(version):
-    """Return the only part of a document that holds its version."""
+def single_part(version):
+    """Return the only part of a document whose content is its version."""
     deltas = msgspec.msgpack.encode([make_delta(version, b"%d" % version)])
     return DocumentPart(version, NO_BASE, len(deltas), 0, deltas)
 
 
-def reply(version=1, revision=1, confirmed=0, closed=(), targets=None, age=-1):
+def make_reply(version=1, revision=1, confirmed=0, closed=(), targets=None, age=-1):
     return SyncReply(
         revision,
         confirmed,
         version,
-        whole_document(version) if version >= 0 else None,
+        single_part(version) if version >= 0 else None,
         list(closed),
         targets,
         targets.age_ms if targets else age,
@@ -74,13 +74,13 @@
         self.registry = Registry()
 
     @params((0, 1.7, True), (0, 1.9, False), (1000, 0.7, True), (1000, 0.9, False))
-    def test_an_entry_host_is_forgotten_by_the_age_of_its_word(self, age, wait, live):
+    def test_entry_host_expires_by_the_age_of_its_report(self, age, wait, live):
         self.registry.hear_entries([entry("h", age)])
         self.now += wait
         self.assertEqual(bool(self.registry.entries()), live)
 
     @params((9.0, True), (11.0, False))
-    def test_an_old_word_is_kept_for_the_last_resort(self, wait, kept):
+    def test_expired_report_is_kept_as_a_last_resort(self, wait, kept):
         self.registry.hear_entries([entry("h")])
         self.now += wait
         self.assertEqual(self.registry.entries(), [])
@@ -88,39 +88,37 @@
         self.assertEqual(bool(found), kept)
 
     @params((0, 500, EntryState.leaving), (500, 0, READY))
-    def test_a_newer_word_is_not_replaced_by_an_older_one(self, first, second, state):
+    def test_newer_report_is_not_replaced_by_an_older_one(self, first, second, state):
         self.registry.hear_entries([entry("h", first, EntryState.leaving)])
         self.registry.hear_entries([entry("h", second)])
         self.assertIs(self.registry.entries()[0].state, state)
 
-    def test_the_region_of_a_host_of_the_core_is_kept(self):
-        """Seeds are named without their regions; a word without one must not take
-        away what another said."""
+    def test_region_of_a_core_host_is_kept(self):
+        """Seeds are listed without their regions. A report without a region must not
+        erase the known one."""
         self.registry.hear_core([CoreHost("c", "r", 1000)])
         self.registry.hear_core([CoreHost("c", "", 0)])
         self.assertEqual(self.registry.core(), [CoreHost("c", "r", 0)])
 
-    def test_a_host_that_speaks_again_costs_no_look_at_all_others(self):
-        """Symptom: a host of the core takes the longer for an answer the more entry
-        hosts ask it.
-        Sequence: each of 200 speaks, and is then told who lives.
-        Cause: each word threw away the list that the next answer needed."""
+    def test_repeated_report_does_not_clear_the_cache(self):
+        """Guards against answers of a core host that slow down with the number of entry
+        hosts: each report discarded the cached list that the next answer needed."""
         for number in range(200):
             self.registry.hear_entries([entry(f"h{number}")])
         self.assertEqual(len(self.registry.entries()), 200)
         self.now += 0.01
-        with mock.patch.object(registry_module.msgspec.structs, "replace") as made:
-            made.side_effect = lambda word, **_: word
+        with mock.patch.object(registry_module.msgspec.structs, "replace") as replace:
+            replace.side_effect = lambda report, **_: report
             for number in range(200):
                 self.registry.hear_entries([entry(f"h{number}")])
                 self.registry.entries()
-            self.assertLessEqual(made.call_count, 2 * 200)
+            self.assertLessEqual(replace.call_count, 2 * 200)
         self.now += 0.01
         self.registry.hear_entries([entry("h7", state=EntryState.leaving)])
         states = {host.name: host.state for host in self.registry.entries()}
         self.assertIs(states["h7"], EntryState.leaving)
 
-    def test_loads_carry_their_present_age(self):
+    def test_loads_have_their_current_age(self):
         self.registry.hear_loads([RegionLoad("r", "s", 4, 1, 0, 200)])
         self.now += 1.0
         (load,) = self.registry.loads()
@@ -128,163 +126,177 @@
 
 
 class FakePeers:
-    """Answers each host's questions from a table; a missing host is silent."""
+    """Stub of ``Peers`` with one answer per host; other hosts don't respond."""
 
     def __init__(self, answers):
         self.answers = answers
-        self.asked = []
+        self.queried = []
 
     def register(self, area, union, handler):
         pass
 
     async def call(self, peer, area, message, timeout, on_late=None):
-        self.asked.append(peer)
+        self.queried.append(peer)
         if peer not in self.answers:
             raise PeerTimeout(peer, timeout)
         return self.answers[peer]
 
 
-def follower(answers=(), seeds=("c1",)):
+def make_client(answers=(), seeds=("c1",)):
     peers = FakePeers(dict(answers))
-    made = Follower("r", lambda: entry("h"), list, decode, list(seeds), peers)
-    return made, peers
+    client = Follower("r", lambda: entry("h"), list, decode, list(seeds), peers)
+    return client, peers
 
 
 class TestFollower(unittest.TestCase):
     @params(
-        ([reply(1), reply(2)], 2),
-        ([reply(2), reply(1)], 2),
-        ([reply(2), reply(-1)], 2),
-        ([reply(-1)], None),
+        ([make_reply(1), make_reply(2)], 2),
+        ([make_reply(2), make_reply(1)], 2),
+        ([make_reply(2), make_reply(-1)], 2),
+        ([make_reply(-1)], None),
     )
-    def test_the_catalogue_never_goes_back(self, replies, expected):
-        made, _ = follower()
-        for one in replies:
-            made._take("c1", one, monotonic())
-        held = made.catalogue.version if made.catalogue else None
+    def test_catalogue_version_never_decreases(self, replies, expected):
+        client, _ = make_client()
+        for each in replies:
+            client._apply_reply("c1", each, monotonic())
+        held = client.catalogue.version if client.catalogue else None
         self.assertEqual(held, expected)
 
     @params(
-        ([reply(revision=1, closed=["z"]), reply(revision=2)], set()),
-        ([reply(revision=2, closed=["z"]), reply(revision=1)], {"z"}),
-        # A revision is agreed wherever it is known; only newer ones may be missing.
-        ([reply(revision=2, closed=["z"]), reply(revision=3, confirmed=-1)], set()),
+        ([make_reply(revision=1, closed=["z"]), make_reply(revision=2)], set()),
+        ([make_reply(revision=2, closed=["z"]), make_reply(revision=1)], {"z"}),
+        # Every known revision is agreed; an unconfirmed host may only lack newer ones.
+        (
+            [
+                make_reply(revision=2, closed=["z"]),
+                make_reply(revision=3, confirmed=-1),
+            ],
+            set(),
+        ),
     )
-    def test_a_core_host_that_is_behind_opens_nothing_again(self, replies, closed):
-        """Symptom: targets of a closed data center get requests again.
-        Sequence: an entry host changes to a host of the core that hasn't heard of the
-        closing.
-        Cause: its set of closed data centers was taken over."""
-        made, _ = follower()
-        for one in replies:
-            made._take("c1", one, monotonic())
-        self.assertEqual(made.closed, closed)
+    def test_core_host_that_is_behind_reopens_no_data_center(self, replies, closed):
+        """Guards against sending requests to targets of a closed data center: an entry
+        host adopted the older set of a core host that lacked the closing."""
+        client, _ = make_client()
+        for each in replies:
+            client._apply_reply("c1", each, monotonic())
+        self.assertEqual(client.closed, closed)
 
     @params(
-        ([listing(500, "old"), listing(0, "new")], ["new"]),
-        ([listing(0, "new"), listing(900, "old")], ["new"]),
-        ([listing(500, "old"), listing(0, "new", "of old")], ["old", "new"]),
-        ([listing(500, "old"), listing(0, "new", "of old", ["old"])], ["new"]),
-        # a change of a list that isn't held
-        ([listing(500, "old"), listing(0, "new", "of another")], ["old"]),
+        ([make_target_list(500, "old"), make_target_list(0, "new")], ["new"]),
+        ([make_target_list(0, "new"), make_target_list(900, "old")], ["new"]),
+        (
+            [make_target_list(500, "old"), make_target_list(0, "new", "of old")],
+            ["old", "new"],
+        ),
+        (
+            [
+                make_target_list(500, "old"),
+                make_target_list(0, "new", "of old", ["old"]),
+            ],
+            ["new"],
+        ),
+        # changes to a list that isn't held
+        (
+            [make_target_list(500, "old"), make_target_list(0, "new", "of another")],
+            ["old"],
+        ),
     )
-    def test_the_list_that_was_read_later_counts(self, listings, expected):
-        made, _ = follower()
-        for one in listings:
-            made._take("c1", reply(targets=one), monotonic())
-        self.assertEqual([t.incarnation for t in made.targets], expected)
+    def test_list_that_was_read_later_is_used(self, listings, expected):
+        client, _ = make_client()
+        for each in listings:
+            client._apply_reply("c1", make_reply(targets=each), monotonic())
+        self.assertEqual([t.incarnation for t in client.targets], expected)
 
     @params(
-        ([reply(1)], [reply(2)], 2),
-        ([reply(2)], [reply(1)], 2),
-        ([], [reply(1)], 1),
+        ([make_reply(1)], [make_reply(2)], 2),
+        ([make_reply(2)], [make_reply(1)], 2),
+        ([], [make_reply(1)], 1),
     )
-    def test_the_catalogue_of_a_late_answer_counts(self, in_time, late, expected):
-        made, _ = follower()
-        for one in in_time:
-            made._take("c1", one, monotonic())
-        for one in late:
-            made._take_late("c1", one, monotonic())
-        self.assertEqual(made.catalogue.version, expected)
-
-    def test_the_list_of_a_late_answer_replaces_none(self):
-        """Guards against targets that come back with an old list."""
-        made, _ = follower()
-        for late in (listing(0, "first"), listing(0, "second")):
-            made._take_late("c1", reply(targets=late), monotonic())
-        self.assertEqual([t.incarnation for t in made.targets], ["first"])
+    def test_catalogue_of_a_late_answer_is_used(self, in_time, late, expected):
+        client, _ = make_client()
+        for each in in_time:
+            client._apply_reply("c1", each, monotonic())
+        for each in late:
+            client._apply_late_reply("c1", each, monotonic())
+        self.assertEqual(client.catalogue.version, expected)
+
+    def test_list_of_a_late_answer_replaces_no_other(self):
+        """Guards against removed targets that return with an old list."""
+        client, _ = make_client()
+        for late in (make_target_list(0, "first"), make_target_list(0, "second")):
+            client._apply_late_reply("c1", make_reply(targets=late), monotonic())
+        self.assertEqual([t.incarnation for t in client.targets], ["first"])
 
     @params(
-        # version held, version in force, is a part of it told, is it confirmed
+        # version held, version in effect, whether a part is sent, expected confirmation
         (1, 1, True, True),
         (2, 1, True, True),
         (1, 2, False, False),
         (1, 2, True, True),
     )
-    def test_only_the_newest_catalogue_is_confirmed(self, held, newest, told, expected):
-        """Guards against a host that takes its catalogue for the newest while another
-        host of the core sends it parts of a newer one."""
-        made, _ = follower()
-        made._take("c1", reply(held, confirmed=-1), monotonic())
-        said = reply(newest)
-        if not told:
-            said.document = None
-        made._take("c2", said, monotonic())
-        self.assertEqual(made.confirmed_age() < 60.0, expected)
-
-    def test_a_silent_core_host_is_left_for_the_next(self):
-        made, peers = follower({"c2": reply(3)}, seeds=("c1", "c2"))
+    def test_only_the_newest_catalogue_is_confirmed(
+        self, held, newest, has_part, expected
+    ):
+        """Guards against a host that counts its catalogue as the newest while another
+        core host sends it parts of a newer one."""
+        client, _ = make_client()
+        client._apply_reply("c1", make_reply(held, confirmed=-1), monotonic())
+        newer_reply = make_reply(newest)
+        if not has_part:
+            newer_reply.document = None
+        client._apply_reply("c2", newer_reply, monotonic())
+        self.assertEqual(client.confirmed_age() < 60.0, expected)
+
+    def test_unresponsive_core_host_is_replaced_by_the_next(self):
+        client, peers = make_client({"c2": make_reply(3)}, seeds=("c1", "c2"))
 
         async def main():
             for _ in range(6):
-                await made._ask(made._choose())
+                await client._query(client._select_core_host())
 
         curio.run(main)
-        self.assertEqual(made.catalogue.version, 3)
-        self.assertEqual(peers.asked[-1], "c2")
-        self.assertLessEqual(peers.asked.count("c1"), 1)
+        self.assertEqual(client.catalogue.version, 3)
+        self.assertEqual(peers.queried[-1], "c2")
+        self.assertLessEqual(peers.queried.count("c1"), 1)
 
     @params(
-        ({"c1": None, "c2": reply(3, targets=listing())}, 3),
-        ({"c1": reply(-1), "c2": reply(3, targets=listing())}, 3),
+        ({"c1": None, "c2": make_reply(3, targets=make_target_list())}, 3),
+        ({"c1": make_reply(-1), "c2": make_reply(3, targets=make_target_list())}, 3),
     )
-    def test_all_seeds_are_asked_at_the_start(self, answers, expected):
-        """Symptom: after a kill of everything the first answers come half a second
-        after the core has a leader again.
-        Sequence: all hosts start together; the first host of the core that is asked is
-        not up yet, the next one has no leader to confirm what it holds.
-        Cause: they were asked one after another, with the patience of a calm hour."""
-        known = {name: word for name, word in answers.items() if word is not None}
-        made, peers = follower(known, seeds=tuple(answers))
-        curio.run(made._ask_seeds)
-        self.assertEqual(made.catalogue.version, expected)
-        self.assertEqual(set(peers.asked), set(answers))
-        self.assertEqual(made._avoided_until, {})
+    def test_all_seeds_are_queried_at_the_start(self, answers, expected):
+        """Guards against a slow start after all hosts restart. The first core host may
+        not run yet and the next may have no leader to confirm its catalogue; queried
+        one after another with the usual timeout, they delayed the first answers."""
+        known = {name: answer for name, answer in answers.items() if answer is not None}
+        client, peers = make_client(known, seeds=tuple(answers))
+        curio.run(client._query_seeds)
+        self.assertEqual(client.catalogue.version, expected)
+        self.assertEqual(set(peers.queried), set(answers))
+        self.assertEqual(client._avoided_until, {})
 
     @params((-1,), (4000,))
-    def test_core_host_that_is_behind_is_left_for_the_next(self, confirmed):
-        """Symptom: requests on a new route get 404 four seconds after it was accepted.
-        Sequence: the core's host of the own region answers, but no leader follows it
-        up any more.
-        Cause: only hosts that didn't answer were left. (Hunt of karadeniz-grown, day
-        hunt-64fc-7.)"""
-        behind = reply(1, confirmed=confirmed)
-        made, peers = follower({"c1": behind, "c2": reply(3)})
+    def test_core_host_that_is_behind_is_replaced_by_the_next(self, confirmed):
+        """Guards against 404 for a new route four seconds after it was accepted: the
+        core host of the same region answered but no longer received changes from a
+        leader, and only core hosts that didn't answer were replaced."""
+        behind = make_reply(1, confirmed=confirmed)
+        client, peers = make_client({"c1": behind, "c2": make_reply(3)})
         core = [CoreHost("c1", "r", 0), CoreHost("c2", "far", 0)]
 
         async def main():
             for _ in range(4):
-                made.registry.hear_core(core)
-                await made._ask(made._choose())
+                client.registry.hear_core(core)
+                await client._query(client._select_core_host())
 
         curio.run(main)
-        self.assertEqual(peers.asked, ["c1", "c2", "c2", "c2"])
-        self.assertEqual(made.catalogue.version, 3)
+        self.assertEqual(peers.queried, ["c1", "c2", "c2", "c2"])
+        self.assertEqual(client.catalogue.version, 3)
 
-    def test_the_own_region_s_core_host_is_asked_first(self):
-        made, _ = follower()
-        made.registry.hear_core([CoreHost("c1", "far", 0), CoreHost("c2", "r", 0)])
-        self.assertEqual({made._choose() for _ in range(10)}, {"c2"})
+    def test_core_host_of_the_same_region_is_queried_first(self):
+        client, _ = make_client()
+        client.registry.hear_core([CoreHost("c1", "far", 0), CoreHost("c2", "r", 0)])
+        self.assertEqual({client._select_core_host() for _ in range(10)}, {"c2"})
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_large_catalogue.py
+++ b/tests/test_fleet_large_catalogue.py
@@ -1,13 +1,9 @@
-"""Entry hosts serve on a large catalogue in time, over their own links.
+"""Entry hosts with narrow links receive a large catalogue in time.
 
-Operators had added 1,700 routes and went on changing single ones. Entry hosts served
-on versions that had been replaced five to eighteen seconds before, and after a loss of
-power none of them served anything any more. Each version went to each of them as a
-whole, 0.3 MB and more on a link of 5 Mbit/s. What came after 0.7 s, or after 0.4 s at a
-start, was dropped and asked for again, from another host of the core, while callers'
-answers waited on the same link:
-
-    late answer  sender 10.5.0.25  area fleet  bytes 299505  seconds 0.712
+Guards against sending each version of a catalogue of 1,700 routes as a whole, over
+0.3 MB on a link of 5 Mbit/s. Answers that took longer than 0.7 s, or 0.4 s at a start,
+were dropped and requested again from another core host. Entry hosts then used versions
+replaced 5 to 18 seconds before, and after a power failure they served nothing at all.
 """
 
 import contextlib
@@ -24,18 +20,18 @@
 from tests._link_model import LinkModel
 from tests._seeded_cluster import SeededCluster
 
-IN_FORCE = 4.0
-"""Seconds within which an accepted change is in force everywhere."""
+MAX_DELAY = 4.0
+"""Seconds within which an accepted change must take effect on every host."""
 LINK_BYTES = 0.8 * 5e6 / 8
-"""Bytes a second that callers' answers leave of an entry host's link of 5 Mbit/s."""
+"""Bytes per second that callers' answers leave free on a link of 5 Mbit/s."""
 ENTRY = EntryHost("h", "a", "a-1", "10.0.0.1:1", "10.0.0.1:2", EntryState.ready, 0)
 
 
 class Operator:
-    """Replaces the document at set times.
+    """Replaces the document at given times.
 
     Attributes:
-        accepted: When each version was acknowledged, by its number.
+        accepted: Simulated time at which each version was acknowledged, by version.
     """
 
     def __init__(self, cluster, changes):
@@ -50,11 +46,11 @@
             self.accepted[version] = at
 
 
-class EntryHostOnALink:
-    """One entry host that follows a host of the core on a simulated clock.
+class SimulatedEntryHost:
+    """An entry host that syncs with one core host on a simulated clock.
 
     Attributes:
-        held: When it first held each version or a newer one, by the version's number.
+        held: Simulated time at which it first held each version or a newer one.
     """
 
     def __init__(self, cluster, operator):
@@ -63,41 +59,41 @@
         self.link.answer_with(CoreHub("a1", "a", *core)._handle)
         self.held = {}
         self._operator = operator
-        self._made = Follower(
+        self._client = Follower(
             "a", lambda: ENTRY, list, read_manifest, ["a1"], self.link
         )
 
     async def run(self, until):
-        """Ask as often as a host does that has been running."""
-        made, link = self._made, self.link
+        """Sync at the interval of a running host."""
+        client, link = self._client, self.link
         while link.now() < until:
             began = link.now()
-            answered = await made._ask(made._choose())
-            self._note()
+            answered = await client._query(client._select_core_host())
+            self._record_version()
             pause = _follower.SYNC_INTERVAL / (1 if answered else 4)
             link.pass_time(max(0.05, pause - (link.now() - began)))
 
     async def run_as_started(self, until):
-        """Ask as often as a host does that has just been started."""
+        """Sync at the interval of a host that has just been started."""
         while self.link.now() < until:
-            await self._made._ask("a1", _follower.START_TIMEOUT)
-            self._note()
-            self.link.pass_time(_follower.START_PAUSE)
+            await self._client._query("a1", _follower.SEED_SYNC_TIMEOUT)
+            self._record_version()
+            self.link.pass_time(_follower.SEED_SYNC_INTERVAL)
 
-    def _note(self):
-        version = self._made.catalogue.version if self._made.catalogue else -1
-        for known in self._operator.accepted:
-            if known <= version:
-                self.held.setdefault(known, self.link.now())
+    def _record_version(self):
+        version = self._client.catalogue.version if self._client.catalogue else -1
+        for accepted_version in self._operator.accepted:
+            if accepted_version <= version:
+                self.held.setdefault(accepted_version, self.link.now())
 
 
 @contextlib.asynccontextmanager
 async def entry_host(changes):
-    """Give an entry host, and the operator whose changes it follows."""
+    """Provide an entry host and the operator that changes the catalogue."""
     async with SeededCluster("a1") as cluster:
         await cluster.until(lambda: cluster.running["a1"].confirmed_age() is not None)
         operator = Operator(cluster, changes)
-        host = EntryHostOnALink(cluster, operator)
+        host = SimulatedEntryHost(cluster, operator)
         with (
             mock.patch.object(_follower, "monotonic", host.link.now),
             mock.patch.object(_registry, "monotonic", host.link.now),
@@ -105,7 +101,7 @@
             yield host, operator
 
 
-def one_change_each(gap, count, routes):
+def periodic_changes(gap, count, routes):
     """Return a large document at 0 s, then a changed route each ``gap`` seconds."""
     changes = [(0.0, 1, large_manifest(1, routes))]
     for number in range(1, count + 1):
@@ -116,11 +112,11 @@
 
 
 class TestLargeCatalogue(unittest.TestCase):
-    def test_changes_are_in_force_in_time(self):
+    def test_changes_take_effect_in_time(self):
         for routes, gap, count in ((1700, 0.33, 18), (1700, 1.5, 5), (17000, 1.5, 5)):
             with self.subTest(routes=routes, gap=gap):
-                changes = one_change_each(gap, count, routes)
-                end = changes[-1][0] + 2 * IN_FORCE
+                changes = periodic_changes(gap, count, routes)
+                end = changes[-1][0] + 2 * MAX_DELAY
                 late = curio.run(self.late_changes, changes, end)
                 self.assertEqual(late, {})
 
@@ -128,20 +124,20 @@
         async with entry_host(changes) as (host, operator):
             await host.run(end)
         self.assertEqual(len(operator.accepted), len(changes))
-        waited = {
+        delays = {
             version: round(host.held.get(version, end) - at, 2)
             for version, at in operator.accepted.items()
         }
-        return {v: seconds for v, seconds in waited.items() if seconds > IN_FORCE}
+        return {v: seconds for v, seconds in delays.items() if seconds > MAX_DELAY}
 
-    def test_a_started_host_knows_what_is_served_in_time(self):
-        """After the loss of power the monitoring showed 20 s without one answer, and
-        26 MB a second from the hosts of the core that were asked."""
+    def test_started_host_receives_the_catalogue_in_time(self):
+        """Guards against an outage after a power failure: entry hosts had served no
+        request for 20 s while the core hosts sent them 26 MB per second."""
 
         async def main():
             changes = [(0.0, 1, large_manifest(1, 1700))]
             async with entry_host(changes) as (host, _):
-                await host.run_as_started(IN_FORCE)
+                await host.run_as_started(MAX_DELAY)
             self.assertIn(1, host.held)
 
         curio.run(main)
--- a/tests/test_fleet_late_answers.py
+++ b/tests/test_fleet_late_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the core that always come late are taken in all the same."""
+"""Sync answers that always arrive after their timeout are still applied."""
 
 import unittest
 
@@ -8,18 +8,19 @@
 from bronzepoint_common.peers import Area, Peers
 from bronzepoint_node.core import CoreHub, TargetReader
 from bronzepoint_node.fleet import Follower
-from bronzepoint_node.fleet._follower import START_TIMEOUT, SYNC_TIMEOUT
+from bronzepoint_node.fleet._follower import SEED_SYNC_TIMEOUT, SYNC_TIMEOUT
 from bronzepoint_platform._manifest import read_manifest
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState, FleetMessage
 from tests._addresses import free_address
 from tests._large_manifest import large_manifest
 from tests._seeded_cluster import SeededCluster
 
-DELAY = 1.2 * max(SYNC_TIMEOUT, START_TIMEOUT)
+DELAY = 1.2 * max(SYNC_TIMEOUT, SEED_SYNC_TIMEOUT)
 """Seconds that each answer takes."""
-PATIENCE = 30.0
+MAX_WAIT = 30.0
+"""Seconds to wait for the first catalogue."""
 ROUTES = 400
-"""Enough for a document that comes in several parts."""
+"""Number of routes, enough for a document that is sent in several parts."""
 ENTRY = EntryHost("h", "a", "a-1", "10.0.0.1:1", "10.0.0.1:2", EntryState.ready, 0)
 KEY = b"k" * 32
 
@@ -30,8 +31,8 @@
 
 
 class TestLateAnswers(unittest.TestCase):
-    def test_host_whose_answers_all_come_late_learns_what_is_in_force(self):
-        """Guards against a host that stays on an old catalogue while it lags."""
+    def test_host_with_only_late_answers_receives_the_catalogue(self):
+        """Guards against a slow host that stays on an old catalogue."""
 
         async def main():
             async with SeededCluster("a1") as cluster:
@@ -50,7 +51,7 @@
         self.assertEqual(curio.run(main), 1)
 
     async def follow(self, answer):
-        """Return the version that an entry host comes to hold."""
+        """Return the version that an entry host receives, or None."""
         core, core_address = make_peers("a1")
         host, host_address = make_peers("h")
         core.register(Area.FLEET, FleetMessage, answer)
@@ -60,7 +61,7 @@
         core.set_address("h", host_address)
         await host.start()
         await follower.start()
-        async with curio.ignore_after(PATIENCE):
+        async with curio.ignore_after(MAX_WAIT):
             while follower.catalogue is None:
                 await curio.sleep(0.05)
         await follower.close()
--- a/tests/test_fleet_target_reader.py
+++ b/tests/test_fleet_target_reader.py
@@ -1,4 +1,4 @@
-"""The platform's list as a host of the core keeps it."""
+"""The platform's target list on a core host, and its changes for entry hosts."""
 
 import unittest
 
@@ -28,10 +28,9 @@
 class TestTargetReader(unittest.TestCase):
     @params((0, 0.0), (0, 0.2), (1500, 0.0), (1500, 0.2))
     def test_cold_time_counts_from_the_answer(self, cold_ms, delay):
-        """Symptom: a cold target got 7 requests in a second, one more than allowed.
-        Sequence: a host is cut off and asks for the list; the answer comes a second
-        late, when the cut heals; it says how long the target stays cold from then.
-        Cause: that time was counted from the question."""
+        """Guards against overloading a cold target. The list states how long the target
+        stays cold from the answer on, but the time was counted from the request. With
+        an answer delayed by a network partition, the target got too many requests."""
 
         async def read():
             await curio.sleep(delay)
@@ -47,7 +46,7 @@
         else:
             self.assertEqual(info.cold_ms, 0)
 
-    def test_a_list_that_can_not_be_read_leaves_the_former_one(self):
+    def test_failed_reading_keeps_the_previous_list(self):
         answers = [[target("i-1")], None, None]
 
         async def read():
@@ -66,54 +65,54 @@
         ([target()], [target(leaving=True)], True),
         ([target()], [target("i-2")], True),
     )
-    def test_only_what_lasts_is_told(self, first, second, changes):
+    def test_cold_countdown_is_no_change(self, first, second, changes):
         reader = TargetReader(None, REGIONS.get)
-        reader._take(first, monotonic())
-        known = reader.tell("x", "").digest
-        reader._take(second, monotonic())
-        self.assertEqual(reader.tell("x", known) is not None, changes)
+        reader._update(first, monotonic())
+        known = reader.changes_since("x", "").digest
+        reader._update(second, monotonic())
+        self.assertEqual(reader.changes_since("x", known) is not None, changes)
 
 
-class TestTold(unittest.TestCase):
-    """Hosts of the core once told every host all targets of all regions, anew each time
-    that it had asked another one of them."""
+class TestChanges(unittest.TestCase):
+    """Guards against sending all targets of all regions to every host, and sending them
+    again each time that a host changes its core host."""
 
-    def test_host_hears_of_its_region_alone(self):
+    def test_host_receives_only_its_region(self):
         reader = TargetReader(None, REGIONS.get)
-        elsewhere = [target("i-2", zone="b"), target("i-3", zone="unknown")]
-        reader._take([target("i-1"), *elsewhere], monotonic())
-        told = reader.tell("x", "")
-        self.assertEqual([t.incarnation for t in told.targets], ["i-1"])
+        remote = [target("i-2", zone="b"), target("i-3", zone="unknown")]
+        reader._update([target("i-1"), *remote], monotonic())
+        sent = reader.changes_since("x", "")
+        self.assertEqual([t.incarnation for t in sent.targets], ["i-1"])
 
-    def test_same_content_read_by_another_host_is_not_told_again(self):
+    def test_same_list_read_by_another_host_is_not_sent_again(self):
         readers = [TargetReader(None, REGIONS.get) for _ in range(2)]
-        readers[0]._take([target("i-1"), target("i-2")], monotonic())
-        readers[1]._take([target("i-2"), target("i-1")], monotonic())
-        known = readers[0].tell("x", "").digest
-        self.assertIsNone(readers[1].tell("x", known))
+        readers[0]._update([target("i-1"), target("i-2")], monotonic())
+        readers[1]._update([target("i-2"), target("i-1")], monotonic())
+        known = readers[0].changes_since("x", "").digest
+        self.assertIsNone(readers[1].changes_since("x", known))
 
-    def test_only_changes_are_told(self):
+    def test_only_changes_are_sent(self):
         reader = TargetReader(None, REGIONS.get)
         many = [target(f"i-{n}") for n in range(500)]
-        reader._take(many, monotonic())
-        known = reader.tell("x", "").digest
-        reader._take([*many[2:], target("i-1", leaving=True)], monotonic())
-        told = reader.tell("x", known)
-        self.assertEqual(told.base, known)
-        self.assertEqual([t.incarnation for t in told.targets], ["i-1"])
-        self.assertEqual(told.gone, ["i-0"])
-
-    def test_all_is_told_where_the_known_content_is_forgotten(self):
+        reader._update(many, monotonic())
+        known = reader.changes_since("x", "").digest
+        reader._update([*many[2:], target("i-1", leaving=True)], monotonic())
+        sent = reader.changes_since("x", known)
+        self.assertEqual(sent.base, known)
+        self.assertEqual([t.incarnation for t in sent.targets], ["i-1"])
+        self.assertEqual(sent.gone, ["i-0"])
+
+    def test_whole_list_is_sent_for_an_unknown_digest(self):
         reader = TargetReader(None, REGIONS.get)
-        reader._take([target()], monotonic())
-        self.assertEqual(reader.tell("x", "other").base, "")
+        reader._update([target()], monotonic())
+        self.assertEqual(reader.changes_since("x", "other").base, "")
 
-    def test_region_without_targets_is_told_so(self):
+    def test_region_without_targets_gets_an_empty_list(self):
         reader = TargetReader(None, REGIONS.get)
-        reader._take([target()], monotonic())
-        told = reader.tell("y", "")
-        self.assertEqual((told.base, told.targets), ("", []))
-        self.assertIsNone(reader.tell("y", told.digest))
+        reader._update([target()], monotonic())
+        sent = reader.changes_since("y", "")
+        self.assertEqual((sent.base, sent.targets), ("", []))
+        self.assertIsNone(reader.changes_since("y", sent.digest))
 
 
 if __name__ == "__main__":
--- a/tests/test_quarantine_processes.py
+++ b/tests/test_quarantine_processes.py
@@ -1,4 +1,4 @@
-"""One request that crashes each target that begins it, before real processes."""
+"""A request that crashes every target that runs it, with real host processes."""
 
 import itertools
 import json
@@ -10,50 +10,50 @@
 
 from tests._command_line import run_command
 from tests._crashing_site import (
-    CONTACT,
-    MOST_ARRIVALS,
+    MAX_ARRIVALS,
     POISON,
-    QUEUE,
-    SLOW,
-    WHOLE,
+    QUEUE_DELAY,
+    SETTLE_TIME,
+    SLOW_STREAM,
+    STREAM_EVENTS,
     Callers,
     CrashingSite,
 )
 from tests._platform_site import START_PATIENCE
 
-KNOWN = 1.0
-"""Seconds after a crash in which all hosts have heard of it."""
-AFTER = 4.0
-"""Seconds for which arrivals are counted once each of them counts."""
-BATCH = 12
-"""Streams that run when the first target crashes."""
-MANY = {
+PROPAGATION_TIME = 1.0
+"""Seconds after a crash within which it has been reported to all hosts."""
+COUNTING_TIME = 4.0
+"""Seconds for which arrivals are counted after ``SETTLE_TIME``."""
+STREAM_COUNT = 12
+"""Number of streams in progress when the first target crashes."""
+MANY_HOSTS = {
     **{f"core-{n}": ("core", f"127.0.0.{10 + n}") for n in (1, 2, 3)},
     **{f"entry-{n}": ("entry", f"127.0.0.{20 + n}") for n in range(1, 9)},
 }
-"""So many entry hosts that a host of the core chooses targets for all."""
+"""Enough entry hosts for a core host to choose the targets for all of them."""
 
 
-async def poison_until_late(site, path, *more):
-    """Let the callers ask until some time after the third crash; return them."""
+async def run_callers(site, path, *more):
+    """Let callers send requests until after the third crash; return the callers."""
     callers = Callers(site, path)
-    await callers.run(CONTACT + AFTER + 4.0, *more)
+    await callers.run(SETTLE_TIME + COUNTING_TIME + 4.0, *more)
     return callers
 
 
-async def crash_three(site, callers, path):
-    """Ask at host after host until three targets have crashed."""
+async def crash_three_targets(site, callers, path):
+    """Send the harmful request to each host in turn until three targets crashed."""
     for address in itertools.cycle(site.addresses()):
         if len(site.crashes()) >= 3:
             return
         await callers.ask(address, path, POISON)
 
 
-async def until_held(site, callers, path):
-    """Ask on until the hosts hold the request back.
+async def wait_until_blocked(site, callers, path):
+    """Repeat the request until the hosts block it.
 
-    On a busy machine they hear of the crashes late: then none counts as alone, and
-    three don't decide yet.
+    On a busy machine the crashes may be reported late. Then none of them counts as
+    alone, and three aren't enough to block the request.
     """
 
     async def is_held():
@@ -63,8 +63,8 @@
         ):
             return True
         if not any(target.is_down for target in site.targets):
-            # A try that meets a target that isn't back yet says nothing.
-            await curio.sleep(KNOWN)
+            # A request to a target that hasn't restarted yet can't cause a crash.
+            await curio.sleep(PROPAGATION_TIME)
             await callers.ask(site.addresses()[0], path, POISON)
         return False
 
@@ -73,85 +73,91 @@
 
 class TestQueryOfDeath(unittest.TestCase):
     @params(
-        # path of the request, targets start again under their id
+        # path of the request, whether targets keep their id when they restart
         ("/safe/death", False),
         ("/stream/death", False),
         ("/once/death", True),
     )
     def test_request_that_crashed_three_targets_reaches_few_more(self, path, keeps_id):
-        """Guards against a request that comes again and crashes target after target."""
+        """Guards against a repeated request that crashes one target after another."""
 
         async def main():
             async with CrashingSite(keeps_id) as site:
-                callers = await poison_until_late(site, path)
+                callers = await run_callers(site, path)
                 third = site.crashes()[2]
-                return len(site.late_arrivals()), callers.served(third + CONTACT)
+                return len(site.late_arrivals()), callers.plain_success_rate(
+                    third + SETTLE_TIME
+                )
 
-        late, served = curio.run(main)
-        self.assertLessEqual(late, MOST_ARRIVALS)
-        self.assertEqual(served, 1.0)
+        late, plain_success_rate = curio.run(main)
+        self.assertLessEqual(late, MAX_ARRIVALS)
+        self.assertEqual(plain_success_rate, 1.0)
 
-    def test_its_caller_comes_from_other_addresses(self):
-        """Guards against a caller whose address is another one each time."""
+    def test_caller_uses_many_addresses(self):
+        """Guards against a caller that uses another address for each request."""
 
         async def main():
             async with CrashingSite() as site:
                 sources = [f"127.0.1.{n}" for n in range(1, 60)]
                 callers = Callers(site, "/safe/death", sources)
-                await callers.run(CONTACT + AFTER + 4.0)
+                await callers.run(SETTLE_TIME + COUNTING_TIME + 4.0)
                 third = site.crashes()[2]
-                known = [at for at in site.arrivals() if at > third + KNOWN]
-                return len(known), callers.served(third + CONTACT)
+                late = [at for at in site.arrivals() if at > third + PROPAGATION_TIME]
+                return len(late), callers.plain_success_rate(third + SETTLE_TIME)
 
-        known, served = curio.run(main)
-        self.assertLessEqual(known, MOST_ARRIVALS)
-        self.assertEqual(served, 1.0)
+        late, plain_success_rate = curio.run(main)
+        self.assertLessEqual(late, MAX_ARRIVALS)
+        self.assertEqual(plain_success_rate, 1.0)
 
-    def test_targets_are_busy_with_streams_that_go_on_elsewhere(self):
-        """Guards against many suspects that hide the one among them."""
+    def test_targets_are_busy_with_resumed_streams(self):
+        """Guards against many suspects that hide the harmful request among them."""
 
         async def main():
-            async with CrashingSite(queue=QUEUE, targets=5) as site:
+            async with CrashingSite(queue=QUEUE_DELAY, targets=5) as site:
                 callers = Callers(site, "/once/death")
-                await callers.run(CONTACT + AFTER + 6.0, callers.send_streams)
+                await callers.run(
+                    SETTLE_TIME + COUNTING_TIME + 6.0, callers.send_streams
+                )
                 await curio.sleep(6.0)
                 third = site.crashes()[2]
-                return len(site.late_arrivals()), callers.streamed(third + CONTACT)
+                return len(site.late_arrivals()), callers.stream_success_rate(
+                    third + SETTLE_TIME
+                )
 
-        late, whole = curio.run(main)
-        self.assertLessEqual(late, MOST_ARRIVALS)
-        self.assertEqual(whole, 1.0)
+        late, complete = curio.run(main)
+        self.assertLessEqual(late, MAX_ARRIVALS)
+        self.assertEqual(complete, 1.0)
 
-    def test_what_another_region_runs_counts_with_it(self):
-        """Guards against a request that each region counts under another name."""
+    def test_crashes_count_across_regions(self):
+        """Guards against regions that compute different fingerprints of a request."""
 
         async def main():
             async with CrashingSite(elsewhere=("entry-2", "entry-3")) as site:
-                callers = await poison_until_late(site, "/safe/death")
+                callers = await run_callers(site, "/safe/death")
                 third = site.crashes()[2]
                 answers = [
                     await callers.ask(address, "/safe/death", POISON)
                     for address in site.addresses()
                 ]
-                known = [at for at in site.arrivals() if at > third + KNOWN]
-                served = callers.served(third + CONTACT)
-                return len(known), served, [a.status for a in answers]
+                late = [at for at in site.arrivals() if at > third + PROPAGATION_TIME]
+                plain_success_rate = callers.plain_success_rate(third + SETTLE_TIME)
+                return len(late), plain_success_rate, [a.status for a in answers]
 
-        known, served, statuses = curio.run(main)
-        self.assertLessEqual(known, MOST_ARRIVALS)
-        self.assertEqual(served, 1.0)
+        late, plain_success_rate, statuses = curio.run(main)
+        self.assertLessEqual(late, MAX_ARRIVALS)
+        self.assertEqual(plain_success_rate, 1.0)
         self.assertEqual(statuses, [503] * 3)
 
-    def test_hosts_know_it_without_their_scheduler(self):
-        """Guards against knowledge of a request that ends with one host of the core."""
+    def test_records_outlast_the_scheduler(self):
+        """Guards against crash records that are lost with single core hosts."""
 
         async def main():
-            async with CrashingSite(hosts=MANY) as site:
+            async with CrashingSite(hosts=MANY_HOSTS) as site:
                 callers = Callers(site, "/safe/death")
-                await crash_three(site, callers, "/safe/death")
+                await crash_three_targets(site, callers, "/safe/death")
                 for name in ("core-1", "core-2"):
                     site.signal(name, signal.SIGKILL)
-                await curio.sleep(CONTACT)
+                await curio.sleep(SETTLE_TIME)
                 answers = [
                     await callers.ask(address, "/safe/death", POISON)
                     for address in site.addresses()
@@ -159,28 +165,28 @@
                 return len(site.late_arrivals()), [a.status for a in answers]
 
         late, statuses = curio.run(main)
-        self.assertLessEqual(late, MOST_ARRIVALS)
+        self.assertLessEqual(late, MAX_ARRIVALS)
         self.assertEqual(statuses, [503] * 8)
 
     @params(
         ("entry-2",), ("core-1", "core-2", "core-3", *(f"entry-{n}" for n in (1, 2, 3)))
     )
-    def test_started_hosts_know_it(self, *killed):
-        """Guards against hosts that forget a request with their processes."""
+    def test_records_outlast_restarts(self, *killed):
+        """Guards against crash records that are lost when host processes restart."""
 
         async def main():
             async with CrashingSite() as site:
                 callers = Callers(site, "/safe/death")
-                await crash_three(site, callers, "/safe/death")
-                await until_held(site, callers, "/safe/death")
-                # What was just seen reaches the disks of the core meanwhile.
+                await crash_three_targets(site, callers, "/safe/death")
+                await wait_until_blocked(site, callers, "/safe/death")
+                # Wait until the core hosts have saved the latest records to disk.
                 await curio.sleep(2.0)
                 for name in killed:
                     site.signal(name, signal.SIGKILL)
                 for name in killed:
                     site.processes[name].wait()
                     site.start(name, first=False)
-                await curio.sleep(CONTACT)
+                await curio.sleep(SETTLE_TIME)
                 await site.until(site._is_ready)
                 before = len(site.arrivals())
                 answers = [
@@ -192,12 +198,12 @@
         arrivals, statuses = curio.run(main)
         self.assertEqual((arrivals, statuses), (0, {503}))
 
-    def test_caller_is_told_not_to_come_back_in_a_moment(self):
+    def test_blocked_caller_gets_a_long_retry_after(self):
         async def main():
             async with CrashingSite() as site:
                 callers = Callers(site, "/once/death")
-                await crash_three(site, callers, "/once/death")
-                await until_held(site, callers, "/once/death")
+                await crash_three_targets(site, callers, "/once/death")
+                await wait_until_blocked(site, callers, "/once/death")
                 (address, *_) = site.addresses()
                 answer = await callers.ask(address, "/once/death", POISON)
                 lines = [
@@ -218,9 +224,9 @@
         async def main():
             async with CrashingSite() as site:
                 callers = Callers(site, "/safe/death")
-                await crash_three(site, callers, "/safe/death")
+                await crash_three_targets(site, callers, "/safe/death")
                 hosts = f"127.0.0.11:{site.control}"
-                await until_held(site, callers, "/safe/death")
+                await wait_until_blocked(site, callers, "/safe/death")
                 listed = await curio.run_in_thread(_command, hosts, "list", "--json")
                 held = json.loads(listed.out)["requests"][0]
                 arguments = ("release", held["fingerprint"])
@@ -244,38 +250,44 @@
     return run_command("quarantine", *arguments, hosts=hosts)
 
 
-class TestBystanders(unittest.TestCase):
-    def test_streams_beside_the_crashes_go_on_being_served(self):
-        """Guards against blame for a batch that ran at each target that crashed."""
+class TestUnrelatedStreams(unittest.TestCase):
+    def test_streams_interrupted_by_the_crashes_are_served(self):
+        """Guards against blaming streams that ran on each target that crashed."""
 
         async def main():
             async with CrashingSite() as site:
                 callers = Callers(site, "/stream/death")
-                found = []
+                answers = []
 
                 async def stream(number, address):
                     path = f"/stream/batch-{number}"
-                    found.append(await callers.ask(address, path, SLOW, wait=20.0))
+                    answers.append(
+                        await callers.ask(address, path, SLOW_STREAM, wait=20.0)
+                    )
 
-                async def whole_batch():
+                async def start_streams():
                     for number, address in zip(
-                        range(BATCH), itertools.cycle(site.addresses()), strict=False
+                        range(STREAM_COUNT),
+                        itertools.cycle(site.addresses()),
+                        strict=False,
                     ):
                         await curio.spawn(stream, number, address, daemon=True)
 
-                await whole_batch()
+                await start_streams()
                 await curio.sleep(0.5)
-                await crash_three(site, callers, "/stream/death")
+                await crash_three_targets(site, callers, "/stream/death")
                 await curio.sleep(8.0)
-                first = len(found)
-                await whole_batch()
+                first = len(answers)
+                await start_streams()
                 await curio.sleep(6.0)
-                return first, found[first:]
+                return first, answers[first:]
 
         first, again = curio.run(main)
-        self.assertEqual(first, BATCH)
-        self.assertEqual([answer.status for answer in again], [200] * BATCH)
-        self.assertEqual({answer.body.count(b"id: ") for answer in again}, {WHOLE})
+        self.assertEqual(first, STREAM_COUNT)
+        self.assertEqual([answer.status for answer in again], [200] * STREAM_COUNT)
+        self.assertEqual(
+            {answer.body.count(b"id: ") for answer in again}, {STREAM_EVENTS}
+        )
 
 
 if __name__ == "__main__":
