--- a/packages/node/src/bronzepoint_node/run_once/__init__.py
+++ b/packages/node/src/bronzepoint_node/run_once/__init__.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests run at most once: claims, outcomes and their copies."""
+"""At-most-once execution of non-idempotent requests: claims and their outcomes."""
 
 from bronzepoint_node.run_once._answers import MAX_STORED_BODY
 from bronzepoint_node.run_once._clock import Clock
--- a/packages/node/src/bronzepoint_node/run_once/_attempts.py
+++ b/packages/node/src/bronzepoint_node/run_once/_attempts.py
@@ -1,4 +1,4 @@
-"""What this host knows of the attempts that it claimed."""
+"""Status of the attempts that this host claimed."""
 
 from dataclasses import dataclass
 
@@ -18,11 +18,11 @@
 
 
 class Attempts:
-    """Answers other hosts that ask whether an attempt is still at work.
+    """Tracks attempts, and answers other hosts that ask whether one still runs.
 
-    An attempt is marked as not run before anyone is told so, and is never dispatched
-    after that: another host may claim the key on the strength of the answer. An
-    attempt that this host doesn't know belongs to an earlier incarnation of it.
+    An attempt is marked as not run before any host gets that answer, and is never
+    dispatched afterwards, because another host may then claim the key. An attempt
+    that this host doesn't know belongs to one of its earlier incarnations.
     """
 
     def __init__(self) -> None:
@@ -32,15 +32,15 @@
         return len(self._attempts)
 
     def begin(self, attempt: bytes) -> None:
-        """Note an attempt before its claim is proposed."""
+        """Record an attempt before its claim is proposed."""
         self._attempts[attempt] = _Attempt(AttemptStatus.running)
 
     def is_running(self, attempt: bytes) -> bool:
-        """Tell whether the attempt may still run the request."""
+        """Return whether the attempt may still run the request."""
         return self.reply(attempt).status is AttemptStatus.running
 
     def end(self, attempt: bytes, outcome: Done | Unknown | Released) -> None:
-        """Note how an attempt ended, until its register says so."""
+        """Record how an attempt ended, until its register holds the outcome."""
         match outcome:
             case Released():
                 self._attempts[attempt] = _Attempt(AttemptStatus.not_run)
@@ -48,12 +48,12 @@
                 self._attempts[attempt] = _Attempt(AttemptStatus.ended, outcome)
 
     def drop(self, attempt: bytes) -> None:
-        """Forget an attempt whose outcome the register holds."""
+        """Remove an attempt whose outcome the register holds."""
         self._attempts.pop(attempt, None)
 
     def reply(self, attempt: bytes) -> AskReply:
-        """Return what to tell a host that asks."""
-        known = self._attempts.get(attempt)
-        if known is None:
+        """Return the reply to a host that queries an attempt."""
+        stored = self._attempts.get(attempt)
+        if stored is None:
             return AskReply(AttemptStatus.forgotten)
-        return AskReply(known.status, known.outcome)
+        return AskReply(stored.status, stored.outcome)
--- a/packages/node/src/bronzepoint_node/run_once/_background.py
+++ b/packages/node/src/bronzepoint_node/run_once/_background.py
@@ -1,4 +1,4 @@
-"""Tasks that end by themselves or with their owner."""
+"""Background tasks, cancelled when their owner closes."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -6,8 +6,11 @@
 import curio
 
 
-class Background:
-    """Runs tasks nobody waits for; a curio task group would keep each ended one."""
+class BackgroundTasks:
+    """Runs tasks that are not joined.
+
+    A curio task group would keep a reference to every task that has ended.
+    """
 
     def __init__(self) -> None:
         self._tasks: set[curio.Task] = set()
@@ -17,7 +20,7 @@
         self._tasks.add(await curio.spawn(self._run, work, args, daemon=True))
 
     async def close(self) -> None:
-        """Cancel what still runs."""
+        """Cancel the tasks that still run."""
         for task in list(self._tasks):
             await task.cancel()
         self._tasks.clear()
--- a/packages/node/src/bronzepoint_node/run_once/_ballots.py
+++ b/packages/node/src/bronzepoint_node/run_once/_ballots.py
@@ -1,4 +1,4 @@
-"""Order of ballots."""
+"""Creation and ordering of ballots."""
 
 import secrets
 
@@ -12,21 +12,22 @@
 
 
 def rank(ballot: Ballot | None) -> Rank:
-    """Return what ballots are compared by; no ballot is lower than any."""
+    """Return the sort key of a ballot; None ranks below every ballot."""
     if ballot is None:
         return LOWEST
     return (ballot.counter, ballot.host, ballot.nonce)
 
 
 def new_ballot(counter: int, host: HostName) -> Ballot:
-    """Return a ballot that no other round has, on this host or another.
+    """Return a ballot that is unique among the rounds of all hosts.
 
-    Two rounds of one host on one key, or a host that restarted, may choose the same
-    counter. Under an equal ballot they could store two states as if they were one.
+    Two rounds of one host on one key, or rounds before and after a restart, may use
+    the same counter. With equal ballots, two different states could be stored as if
+    they were one. The random nonce prevents that.
     """
     return Ballot(counter, host, secrets.randbits(_NONCE_BITS))
 
 
 def following_ballot(ballot: Ballot) -> Ballot:
-    """Return the ballot that the same proposer may use next without a new promise."""
+    """Return the next ballot that the same proposer may use without a new promise."""
     return Ballot(ballot.counter + 1, ballot.host, ballot.nonce)
--- a/packages/node/src/bronzepoint_node/run_once/_claims.py
+++ b/packages/node/src/bronzepoint_node/run_once/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of keys by this host, and what becomes of other hosts' claims."""
+"""Claims keys for this host and resolves the claims of other hosts."""
 
 import secrets
 from collections.abc import Awaitable, Callable
@@ -27,35 +27,35 @@
 from bronzepoint_schema.generated.settings import RunOnceSection
 from bronzepoint_schema.ids import HostName, RequestId
 
-Ask = Callable[[messages.Claimed], Awaitable[AskReply | None]]
-"""Asks the host of an attempt about it; None where it does not answer."""
+QueryAttempt = Callable[[messages.Claimed], Awaitable[AskReply | None]]
+"""Queries the host of an attempt for its status; None if it does not answer."""
 
 DISPATCH_WINDOW = 2.0
-"""Seconds after the start of a claim within which dispatch may begin unconfirmed."""
-GONE_AFTER = 5.0
-"""Seconds after a claim from which its silent host is taken for gone.
+"""Seconds after the start of a claim in which dispatch needs no confirmation."""
+CLAIMANT_TIMEOUT = 5.0
+"""Seconds after a claim until its unresponsive host is considered failed.
 
-Longer than the dispatch window, so that nothing can be dispatched any more under a
+It is longer than the dispatch window, so that no request can be dispatched under a
 claim whose outcome was recorded as unknown."""
 RETRY_AFTER = 1.0
-"""Seconds until a resend may find that things have moved."""
-MAX_TURNS = 4
-"""Times a claim looks again after the register changed under it."""
+"""Seconds that a caller is told to wait before it resends."""
+MAX_CLAIM_TRIES = 4
+"""Maximum tries of a claim whose register is changed concurrently."""
 _ATTEMPT_BYTES = 16
 
 
 class Claims:
-    """Claims keys, by rounds of votes.
+    """Claims keys by consensus among the replicas of their registers.
 
     Args:
         name: This host.
         proposer: Changes registers.
         attempts: This host's own attempts.
-        outcomes: Releases claims that come to nothing.
-        window: Which keys are in use.
+        outcomes: Releases claims that were not agreed on.
+        window: Determines which keys are in use.
         clock: Wall and elapsed time.
         section: Settings.
-        ask: Asks other hosts about their attempts.
+        query: Queries other hosts about their attempts.
         metrics: Counts confirmations.
     """
 
@@ -68,7 +68,7 @@
         window: KeyWindow,
         clock: Clock,
         section: RunOnceSection,
-        ask: Ask,
+        query: QueryAttempt,
         metrics: Metrics,
     ) -> None:
         self._name = name
@@ -78,37 +78,39 @@
         self._window = window
         self._clock = clock
         self._section = section
-        self._ask = ask
+        self._query = query
         self._metrics = metrics
 
     async def claim(
         self, key: bytes, digest: bytes, request_id: RequestId
     ) -> ClaimResult:
-        """Claim a key, or find out what became of it."""
-        for _ in range(MAX_TURNS):
-            if self._window.expired(key):
+        """Claim a key, or return the result of the attempt that holds it."""
+        for _ in range(MAX_CLAIM_TRIES):
+            if self._window.is_expired(key):
                 return Expired()
-            mine = self._new_claim(digest, request_id)
-            result = await self._propose(key, mine, _states.claim(mine))
+            own_claim = self._new_claim(digest, request_id)
+            result = await self._propose(key, own_claim, _states.claim(own_claim))
             if not isinstance(result, messages.Claimed):
-                return _describe(result, digest)
+                return _to_result(result, digest)
             if result.digest != digest:
                 return Mismatch()
-            # Another attempt holds the key: what becomes of it?
-            mine = self._new_claim(digest, request_id)
-            settled = await self._settle(key, result, mine)
-            if settled is not None:
-                return settled
-        return Unavailable("the register kept changing", RETRY_AFTER)
+            # Another attempt holds the key: resolve its outcome.
+            own_claim = self._new_claim(digest, request_id)
+            resolved = await self._resolve(key, result, own_claim)
+            if resolved is not None:
+                return resolved
+        return Unavailable(
+            "the register was changed concurrently by other claims", RETRY_AFTER
+        )
 
     async def confirm(self, token: ClaimToken) -> bool:
-        """Tell whether dispatch may begin now; see `RunOnce.confirm`."""
+        """Return whether dispatch may begin now; see `RunOnce.confirm`."""
         if token.closed:
             return False
         if self._clock.elapsed() < token.dispatch_by:
             return True
         self._metrics.incr("run_once.confirm.asked")
-        if await self._claim_again(token):
+        if await self._renew_claim(token):
             return self._clock.elapsed() < token.dispatch_by
         self._metrics.incr("run_once.confirm.lost")
         released = messages.Released(*_states.identity(token.state))
@@ -116,49 +118,51 @@
         return False
 
     async def _propose(
-        self, key: bytes, mine: messages.Claimed, change: _states.Change
+        self, key: bytes, own_claim: messages.Claimed, change: _states.Change
     ) -> Claimed | Unavailable | _states.State | None:
-        """Propose one's own claim; return it, or the state that stands in its way."""
+        """Propose a claim of this host; return it, or the state that prevents it."""
         dispatch_by = self._clock.elapsed() + DISPATCH_WINDOW
-        self._attempts.begin(mine.attempt)
-        held = False
+        self._attempts.begin(own_claim.attempt)
+        is_claimed = False
         stored = True
         try:
             agreed = await self._proposer.change(key, change, self._section.timeout)
-            held = _states.is_claim_of(mine.attempt, agreed.state)
+            is_claimed = _states.is_claim_of(own_claim.attempt, agreed.state)
             stored = False
         except RoundFailed as exc:
             stored = exc.stored
             return Unavailable(exc.reason, RETRY_AFTER)
         finally:
-            # Also where the caller left and this task was cancelled in between.
-            if not held:
-                await self._outcomes.abandon(key, mine, stored)
-        if not held:
+            # This also runs if the caller disconnected and this task was cancelled.
+            if not is_claimed:
+                await self._outcomes.abandon(key, own_claim, stored)
+        if not is_claimed:
             return agreed.state
-        return Claimed(ClaimToken(key, mine, agreed.following, dispatch_by))
+        return Claimed(ClaimToken(key, own_claim, agreed.following, dispatch_by))
 
-    async def _settle(
-        self, key: bytes, other: messages.Claimed, mine: messages.Claimed
+    async def _resolve(
+        self, key: bytes, other: messages.Claimed, own_claim: messages.Claimed
     ) -> ClaimResult | None:
-        """Find out what became of another attempt; None: the register has changed."""
-        match await self._ask(other):
+        """Resolve another attempt; return None if the register has changed."""
+        match await self._query(other):
             case AskReply(status=AttemptStatus.running):
                 return InProgress(RETRY_AFTER)
             case AskReply(status=AttemptStatus.not_run):
-                result = await self._propose(key, mine, _states.replace(other, mine))
+                result = await self._propose(
+                    key, own_claim, _states.replace(other, own_claim)
+                )
                 return result if isinstance(result, Claimed | Unavailable) else None
             case AskReply(status=AttemptStatus.ended, outcome=outcome):
-                return await self._settle_as(key, other, outcome)
+                return await self._store_resolution(key, other, outcome)
             case AskReply(status=AttemptStatus.forgotten):
-                return await self._settle_as(key, other, _unknown(other))
+                return await self._store_resolution(key, other, _unknown_outcome(other))
         age = (self._clock.wall_ms() - other.claimed_at) / MS_PER_SECOND
-        patience = GONE_AFTER + self._section.clock_skew - age
-        if patience > 0:
-            return InProgress(max(patience, RETRY_AFTER))
-        return await self._settle_as(key, other, _unknown(other))
+        time_left = CLAIMANT_TIMEOUT + self._section.clock_skew - age
+        if time_left > 0:
+            return InProgress(max(time_left, RETRY_AFTER))
+        return await self._store_resolution(key, other, _unknown_outcome(other))
 
-    async def _settle_as(
+    async def _store_resolution(
         self,
         key: bytes,
         other: messages.Claimed,
@@ -170,11 +174,11 @@
         except RoundFailed as exc:
             return Unavailable(exc.reason, RETRY_AFTER)
         if isinstance(agreed.state, messages.Done | messages.Unknown):
-            return _describe(agreed.state, other.digest)
+            return _to_result(agreed.state, other.digest)
         return None
 
-    async def _claim_again(self, token: ClaimToken) -> bool:
-        """Renew a claim whose dispatch window has passed."""
+    async def _renew_claim(self, token: ClaimToken) -> bool:
+        """Renew a claim after its dispatch window has passed."""
         dispatch_by = self._clock.elapsed() + DISPATCH_WINDOW
         identity = _states.identity(token.state)
         renewed = messages.Claimed(*identity, claimed_at=self._clock.wall_ms())
@@ -202,7 +206,7 @@
         )
 
 
-def _describe(
+def _to_result(
     state: Claimed | Unavailable | _states.State | None, digest: bytes
 ) -> ClaimResult:
     match state:
@@ -216,8 +220,8 @@
             return Done(answer)
         case messages.Unknown():
             return Unknown()
-    return Unavailable("the register changed under the claim", RETRY_AFTER)
+    return Unavailable("the register changed during the claim", RETRY_AFTER)
 
 
-def _unknown(other: messages.Claimed) -> messages.Unknown:
+def _unknown_outcome(other: messages.Claimed) -> messages.Unknown:
     return messages.Unknown(*_states.identity(other))
--- a/packages/node/src/bronzepoint_node/run_once/_clock.py
+++ b/packages/node/src/bronzepoint_node/run_once/_clock.py
@@ -1,4 +1,4 @@
-"""The two clocks that the run-once records use."""
+"""Wall clock and elapsed-time clock of the run-once records."""
 
 import time
 
@@ -8,11 +8,11 @@
 
 
 class Clock:
-    """Wall time for the age of keys, elapsed time for how long this process waited.
+    """Wall time for the age of keys, elapsed time for the dispatch window.
 
-    Elapsed time is the boot-time clock: it goes on while the process is stopped and,
-    unlike the monotonic clock, while the whole machine is suspended. A claim that
-    slept through its dispatch window must see that it did.
+    Elapsed time is the boot-time clock. It advances while the process is stopped and,
+    unlike the monotonic clock, while the machine is suspended, so that a claim whose
+    dispatch window passed meanwhile is detected.
     """
 
     def wall_ms(self) -> int:
@@ -20,5 +20,5 @@
         return time.time_ns() // 1_000_000
 
     def elapsed(self) -> float:
-        """Return seconds on a clock that is never set and runs on while suspended."""
+        """Return seconds of a clock that is never adjusted and runs during suspend."""
         return monotonic()
--- a/packages/node/src/bronzepoint_node/run_once/_errors.py
+++ b/packages/node/src/bronzepoint_node/run_once/_errors.py
@@ -1,8 +1,8 @@
-"""Typed errors of the run-once records."""
+"""Errors of the run-once records."""
 
 
 class RunOnceError(Exception):
-    """Base of the errors of the run-once records."""
+    """Base class of the errors of the run-once records."""
 
 
 class InvalidKey(RunOnceError):
@@ -16,26 +16,26 @@
 
 
 class KeyAhead(RunOnceError):
-    """The time part of the key lies in the future.
+    """The timestamp of the key is in the future.
 
     Args:
-        seconds: How far it is ahead of this host's clock.
+        seconds: Seconds by which the key is ahead of this host's clock.
     """
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
         super().__init__(
-            f"the idempotency key was made {seconds:.1f} s in the future; set the "
-            "caller's clock by a time server and make a new key"
+            f"the idempotency key was made {seconds:.1f} s in the future; "
+            "synchronise the caller's clock with a time server and make a new key"
         )
 
 
 class RoundFailed(RunOnceError):
-    """No majority of the copies took part in time.
+    """No majority of the replicas took part in time.
 
     Args:
-        reason: What the copies that answered said.
-        stored: True: some copy may have stored the proposed state.
+        reason: Why the replicas refused, or which ones did not vote.
+        stored: Whether some replica may have stored the proposed state.
     """
 
     def __init__(self, reason: str, stored: bool) -> None:
--- a/packages/node/src/bronzepoint_node/run_once/_keys.py
+++ b/packages/node/src/bronzepoint_node/run_once/_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: UUIDv7, whose time part says how long they may be resent."""
+"""Idempotency keys: UUIDv7, whose timestamp limits how long they may be resent."""
 
 import uuid
 
@@ -25,22 +25,22 @@
 
 
 def key_time(key: bytes) -> int:
-    """Return the Unix time in milliseconds at which the key was made."""
+    """Return the Unix time in milliseconds at which the key was created."""
     return int.from_bytes(key[:_TIME_BYTES], "big")
 
 
 class KeyWindow:
-    """Which keys may be used at a moment, by their time part.
+    """Determines from its timestamp whether a key may be used.
 
-    A host that takes a request and a copy that keeps its record have clocks that may
-    differ by `skew`, and the copy must never have forgotten a key that a host still
-    takes: it would let the request run again. So a copy keeps and takes keys for
-    twice the skew longer than a host does, at both ends.
+    The clocks of a host that accepts a request and of a replica that keeps its record
+    may differ by `skew`. A replica must not drop a key that a host still accepts, or
+    the request could run again. So replicas accept and keep keys for twice the skew
+    longer than hosts do, at both ends of the lifetime.
 
     Args:
         lifetime: Seconds for which a key may be resent.
-        skew: Seconds by which any two clocks may differ.
-        clock: Tells the wall time.
+        skew: Maximum difference (s) between any two clocks.
+        clock: Source of the wall time.
     """
 
     def __init__(self, lifetime: float, skew: float, clock: Clock) -> None:
@@ -49,51 +49,54 @@
         self._clock = clock
 
     def check_ahead(self, key: bytes) -> None:
-        """Refuse a key of the future, as a host that takes a request.
+        """Check, on a host that accepts a request, that a key isn't in the future.
+
+        A replica that loses its memory could not detect that it had voted on such a
+        key before.
 
         Raises:
-            KeyAhead: A copy that loses its memory could not tell that it knew it.
+            KeyAhead: The key is ahead of this host's clock by more than the skew.
         """
         ahead = key_time(key) - self._clock.wall_ms()
         if ahead > self._skew_ms:
             raise KeyAhead(ahead / MS_PER_SECOND)
 
-    def expired(self, key: bytes) -> bool:
-        """Tell whether a host refuses the key because it is too old."""
+    def is_expired(self, key: bytes) -> bool:
+        """Return whether a host refuses the key because it is too old."""
         return key_time(key) + self._lifetime_ms < self._clock.wall_ms()
 
-    def forgotten(self, key: bytes) -> bool:
-        """Tell whether a copy has dropped, or may drop, the record of the key."""
-        return not self.in_use(key_time(key))
+    def may_be_dropped(self, key: bytes) -> bool:
+        """Return whether a replica has dropped, or may drop, the key's register."""
+        return not self.is_in_use(key_time(key))
 
-    def in_use(self, time_ms: int) -> bool:
-        """Tell whether a key made at this Unix time may still be used."""
+    def is_in_use(self, time_ms: int) -> bool:
+        """Return whether a key created at this Unix time (ms) may still be used."""
         kept_until = time_ms + self._lifetime_ms + 2 * self._skew_ms
         return kept_until >= self._clock.wall_ms()
 
-    def unborn(self, key: bytes) -> bool:
-        """Tell whether a copy refuses the key because its time is still to come."""
+    def is_too_new(self, key: bytes) -> bool:
+        """Return whether a replica refuses the key because it is in the future."""
         return key_time(key) > self._clock.wall_ms() + 2 * self._skew_ms
 
     def floor(self) -> int:
-        """Return the newest key time (ms) that any copy can have voted on up to now.
+        """Return the newest key time (ms) that a replica can have voted on until now.
 
-        The copy took keys up to twice the skew ahead of its clock, and the clock of a
-        machine that replaces it may be behind that clock by the skew.
+        A replica accepts keys up to twice the skew ahead of its clock, and the clock
+        of a replacement machine may be behind that clock by the skew.
         """
         return self._clock.wall_ms() + 3 * self._skew_ms
 
-    def switched(self, since: int) -> int:
-        """Return the newest key time (ms) voted on by older lists of hosts.
+    def newest_old_list_key(self, since: int) -> int:
+        """Return the newest key time (ms) whose owners came from an older host list.
 
         Args:
-            since: Unix time (ms) at which a host took a newer list; 0: it always
-                had it, so no key went by an older one.
+            since: Unix time (ms) at which a host adopted the newer list; 0 if it
+                always had that list, so that no key used an older one.
         """
         return since + 2 * self._skew_ms if since else 0
 
 
 def new_key(clock: Clock) -> bytes:
-    """Return a key of this moment, as a caller would make it."""
-    made = clock.wall_ms().to_bytes(_TIME_BYTES, "big")
-    return made + bytes(uuid.uuid4().bytes[_TIME_BYTES:])
+    """Return a key with the current time, as a caller would create it."""
+    created = clock.wall_ms().to_bytes(_TIME_BYTES, "big")
+    return created + bytes(uuid.uuid4().bytes[_TIME_BYTES:])
--- a/packages/node/src/bronzepoint_node/run_once/_knowledge.py
+++ b/packages/node/src/bronzepoint_node/run_once/_knowledge.py
@@ -1,4 +1,4 @@
-"""What a copy remembers, and for which keys it may therefore vote."""
+"""Determines which keys a replica may vote on after a loss of memory."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,15 +10,16 @@
 
 
 @dataclass(frozen=True)
-class Heard:
-    """What another copy said when this one read its registers.
+class PeerState:
+    """State that another replica reported when its registers were read.
 
     Attributes:
         hosts: Fingerprint of its list of the region's hosts.
-        since: Unix time (ms) at which it took that list; 0: always.
-        reader_since: Unix time (ms) at which it first counted this host; 0: always.
-        floor: Keys up to this time (ms) were not fully known to it.
-        incarnation: Its incarnation then.
+        since: Unix time (ms) at which it adopted that list; 0 if it always had it.
+        reader_since: Unix time (ms) at which this host first was on its list; 0 if
+            it always was.
+        floor: Key time (ms) up to which its registers may be incomplete.
+        incarnation: Its incarnation at that time.
     """
 
     hosts: int
@@ -28,28 +29,28 @@
     incarnation: int
 
 
-class Knowledge:
-    """Decides whether this copy may vote on a key.
+class VotingRights:
+    """Decides whether this replica may vote on a key.
 
-    A copy that lost its memory (no disk, or the data folder is gone) has forgotten
-    promises and states. Were it to vote at once, it and a second copy could form a
-    majority that knows nothing of a request that ran: the symptom is a second run
-    after one restart. So it votes on a key only
+    A replica that lost its memory (no disk, or a lost data folder) no longer knows
+    its promises and states. If it voted immediately, it could form a majority with a
+    second replica that has no record of a request that ran, and the request would run
+    twice after one restart. So it votes on a key only
 
-    - when the key is younger than anything it can have voted on before, or
-    - when it has read enough other owners of the key that every majority which could
-      have counted its former votes has a member among them.
+    - if the key is newer than any key it can have voted on before, or
+    - if it has read so many other owners of the key that every majority which could
+      have counted its earlier votes includes one of them.
 
-    Votes of an earlier incarnation may still be on their way. Incarnations have rising
-    numbers, which the others record before they let themselves be read; a
-    proposer drops votes of an older incarnation than another voter knows
-    (see `Round`).
+    Votes of an earlier incarnation may still be in flight. Incarnation numbers
+    increase, and the other replicas record the reader's number before they let it
+    read them. A proposer drops a vote whose incarnation is older than the one known
+    to another voter (see `Round`).
 
     Attributes:
-        incarnation: Number of this copy's present incarnation.
-        floor: Keys up to this time (ms) were forgotten; 0: nothing was.
-        seen: Newest incarnation known of each other host.
-        heard: What was read from each other host.
+        incarnation: Number of this replica's current incarnation.
+        floor: Key time (ms) up to which memory was lost; 0 if none was.
+        incarnations: Newest known incarnation of each other host.
+        peer_states: State last read from each other host.
     """
 
     def __init__(self, name: HostName, owners: Owners, window: KeyWindow) -> None:
@@ -58,35 +59,35 @@
         self._window = window
         self.incarnation = 0
         self.floor = 0
-        self.seen: dict[HostName, int] = {}
-        self.heard: dict[HostName, Heard] = {}
+        self.incarnations: dict[HostName, int] = {}
+        self.peer_states: dict[HostName, PeerState] = {}
         self._all_read = False
-        self._majority_heard = False
-        self._newcomer = False
-        self._switched: dict[int, int] = {}
+        self._majority_read = False
+        self._is_new_member = False
+        self._switch_times: dict[int, int] = {}
 
     @property
     def recovered(self) -> bool:
-        """Whether this copy knows all that the others can tell it."""
+        """Whether this replica has read all that the other replicas hold."""
         alone = len(self._owners.hosts) == 1
         return self.floor == 0 or self._all_read or alone
 
-    def forget(self, incarnation: int) -> None:
-        """Begin an incarnation without memory."""
+    def start_without_memory(self, incarnation: int) -> None:
+        """Start an incarnation without memory."""
         self.incarnation = incarnation
         self.floor = self._window.floor()
-        self.heard.clear()
+        self.peer_states.clear()
         self._all_read = False
-        self._newcomer = False
-        self._switched.clear()
+        self._is_new_member = False
+        self._switch_times.clear()
 
     def restore(self, identity: Identity) -> None:
-        """Go on with the incarnation that the log tells of."""
+        """Continue the incarnation recorded in the log."""
         self.incarnation = identity.incarnation
         self.floor = identity.floor
 
     def identity(self) -> Identity:
-        """Return what the log must keep of this incarnation."""
+        """Return the record of this incarnation for the log."""
         return Identity(
             incarnation=self.incarnation,
             floor=self.floor,
@@ -94,101 +95,107 @@
         )
 
     def learn_incarnation(self, host: HostName, incarnation: int) -> bool:
-        """Record another copy's incarnation; True where it is news."""
-        if host == self._name or self.seen.get(host, 0) >= incarnation:
+        """Record another replica's incarnation; return whether it is new."""
+        if host == self._name or self.incarnations.get(host, 0) >= incarnation:
             return False
-        self.seen[host] = incarnation
+        self.incarnations[host] = incarnation
         return True
 
-    def seen_by(self, owners: Sequence[HostName]) -> list[int]:
-        """Return the newest incarnation known of each owner."""
+    def known_incarnations(self, owners: Sequence[HostName]) -> list[int]:
+        """Return the newest known incarnation of each owner."""
         return [
-            self.incarnation if host == self._name else self.seen.get(host, 0)
+            self.incarnation if host == self._name else self.incarnations.get(host, 0)
             for host in owners
         ]
 
-    def covers(self, key: bytes, owners: Sequence[HostName]) -> bool:
-        """Tell whether this copy may vote on a key."""
-        newly_mine = self._owners.newly_mine(key)
-        if self.floor == 0 and not newly_mine:
+    def may_vote(self, key: bytes, owners: Sequence[HostName]) -> bool:
+        """Return whether this replica may vote on a key."""
+        is_new_owner = self._owners.is_new_owner(key)
+        if self.floor == 0 and not is_new_owner:
             return True
-        made = key_time(key)
-        if newly_mine or self._newcomer:
-            # The former owners could agree without this host until they all place
-            # the key by the list that names it.
-            switched = self._switched.get(self._owners.fingerprint)
-            return switched is not None and made > max(switched, self.floor)
-        if not self._majority_heard and len(self._owners.hosts) > 1:
+        created = key_time(key)
+        if is_new_owner or self._is_new_member:
+            # The previous owners can agree without this host until all of them
+            # choose the key's owners from a list that includes it.
+            switch_time = self._switch_times.get(self._owners.fingerprint)
+            return switch_time is not None and created > max(switch_time, self.floor)
+        if not self._majority_read and len(self._owners.hosts) > 1:
             return False
-        return made > self.floor or self._has_read_enough(made, owners)
+        return created > self.floor or self._has_read_enough(created, owners)
 
-    def take(self, host: HostName, heard: Heard) -> bool:
-        """Note that another host was read in full; True where the floor fell.
+    def record_read(self, host: HostName, state: PeerState) -> bool:
+        """Record that another host was read in full; return whether the floor fell.
 
-        What this copy has recovered stays known although the others may restart
-        later: the floor falls once, at a moment at which all reads were valid.
+        Recovered registers stay valid even if the other hosts restart later, because
+        the floor is lowered only at a time at which all reads are valid.
         """
-        self.heard[host] = heard
-        agreeing = self._agreeing()
+        self.peer_states[host] = state
+        current = self._current_peers()
         needed = majority(len(self._owners.hosts))
-        # The settings of a host that was added name the others, but not whether they
-        # count it yet. More than half of the region can't all be as new as it is.
-        self._majority_heard |= len(agreeing) + 1 >= needed
-        self._newcomer |= self.floor > 0 and heard.reader_since > 0
+        # The settings of an added host name the others, but don't say whether these
+        # have it on their lists yet. It reads a majority first, because more than
+        # half of the region can't be newly added too.
+        self._majority_read |= len(current) + 1 >= needed
+        self._is_new_member |= self.floor > 0 and state.reader_since > 0
         if not self._has_read_all():
             return False
         self._all_read = True
-        switched = max(self._window.switched(said.since) for said in agreeing)
-        self._switched = {self._owners.fingerprint: switched}
-        return self._lower_floor(switched, max(said.floor for said in agreeing))
+        switch_time = max(
+            self._window.newest_old_list_key(peer.since) for peer in current
+        )
+        self._switch_times = {self._owners.fingerprint: switch_time}
+        return self._lower_floor(switch_time, max(peer.floor for peer in current))
 
-    def _lower_floor(self, switched: int, unknown: int) -> bool:
+    def _lower_floor(self, switch_time: int, incomplete: int) -> bool:
         before = self.floor
-        if not self._newcomer:
-            self.floor = min(self.floor, unknown)
-        if not self._window.in_use(max(self.floor, switched)):
+        if not self._is_new_member:
+            self.floor = min(self.floor, incomplete)
+        if not self._window.is_in_use(max(self.floor, switch_time)):
             self.floor = 0
-            self._newcomer = False
+            self._is_new_member = False
         return self.floor < before
 
-    def must_read(self, host: HostName) -> bool:
-        """Tell whether another host was not read yet, or not since it changed.
+    def needs_read(self, host: HostName) -> bool:
+        """Return whether another host was not read yet, or not since it changed.
 
-        Once all were read, one that restarts without memory has nothing to tell.
+        After all hosts were read, one that restarts without memory has nothing new.
         """
-        heard = self.heard.get(host)
-        if heard is None or heard.hosts != self._owners.fingerprint:
+        state = self.peer_states.get(host)
+        if state is None or state.hosts != self._owners.fingerprint:
             return True
-        return not self._all_read and not self._agrees(host)
+        return not self._all_read and not self._is_current(host)
 
-    def may_gain(self, host: HostName) -> bool:
-        """Tell whether another host, itself without memory then, may know more now."""
-        return self._window.in_use(self.heard[host].floor)
+    def may_know_more(self, host: HostName) -> bool:
+        """Return whether a host that was recovering when read may know more now."""
+        return self._window.is_in_use(self.peer_states[host].floor)
 
-    def readable_floor(self) -> int:
-        """Return the key time (ms) above which a reader may rely on this copy."""
-        return max(self.floor, self._window.switched(self._owners.since))
+    def complete_above(self) -> int:
+        """Return the key time (ms) above which this replica is complete for readers."""
+        return max(self.floor, self._window.newest_old_list_key(self._owners.since))
 
     def _has_read_all(self) -> bool:
-        """Tell whether every other host was read in its present incarnation."""
+        """Return whether every other host was read in its current incarnation."""
         return all(
-            host == self._name or self._agrees(host) for host in self._owners.hosts
+            host == self._name or self._is_current(host) for host in self._owners.hosts
         )
 
-    def _agrees(self, host: HostName) -> bool:
-        """Tell whether a host was read in its present incarnation and has our list."""
-        heard = self.heard.get(host)
+    def _is_current(self, host: HostName) -> bool:
+        """Return whether a host was read in its current incarnation with our list."""
+        state = self.peer_states.get(host)
         return (
-            heard is not None
-            and heard.hosts == self._owners.fingerprint
-            and heard.incarnation >= self.seen.get(host, 0)
+            state is not None
+            and state.hosts == self._owners.fingerprint
+            and state.incarnation >= self.incarnations.get(host, 0)
         )
 
-    def _agreeing(self) -> list[Heard]:
-        return [heard for host, heard in self.heard.items() if self._agrees(host)]
+    def _current_peers(self) -> list[PeerState]:
+        return [
+            state for host, state in self.peer_states.items() if self._is_current(host)
+        ]
 
-    def _has_read_enough(self, made: int, owners: Sequence[HostName]) -> bool:
+    def _has_read_enough(self, created: int, owners: Sequence[HostName]) -> bool:
         read = sum(
-            self._agrees(host) and self.heard[host].floor < made for host in owners
+            self._is_current(host) and self.peer_states[host].floor < created
+            for host in owners
         )
         return read >= len(owners) - majority(len(owners)) + 1
--- a/packages/node/src/bronzepoint_node/run_once/_owners.py
+++ b/packages/node/src/bronzepoint_node/run_once/_owners.py
@@ -1,4 +1,4 @@
-"""Which hosts of the region keep the record of a key."""
+"""Selects the hosts of the region that keep the register of a key."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,43 +12,43 @@
 
 
 def majority(count: int) -> int:
-    """Return how many of `count` copies are a majority."""
+    """Return how many of `count` replicas are a majority."""
     return count // 2 + 1
 
 
 def choose_owners(
     key: bytes, hosts: Iterable[HostName], copies: int
 ) -> tuple[HostName, ...]:
-    """Return the hosts that keep a key, by rendezvous hash, highest first."""
+    """Return the owners of a key by rendezvous hashing, highest score first."""
     return tuple(rendezvous_order(key.hex(), hosts)[:copies])
 
 
 def fingerprint(hosts: Iterable[HostName]) -> int:
-    """Return a number that two hosts share only if they mean the same hosts."""
+    """Return a hash that is the same on two hosts only for equal sets of hosts."""
     return xxhash.xxh64_intdigest("\0".join(sorted(hosts)).encode())
 
 
 class Owners:
-    """The region's hosts over time, and the owners of each key among them.
+    """Keeps the lists of the region's hosts over time, and selects a key's owners.
 
-    Two hosts that place a key by different lists could each find a majority of their
-    own, and the request would run twice. So a host judges each key by one list for
-    ever: keys that may have been seen before it took a newer list stay with the
-    older one, and each message names the owners it means.
+    If two hosts selected a key's owners from different lists, each could reach a
+    majority of its own and the request would run twice. So a host always uses the
+    same list for a key: keys that may have been used before it adopted a newer list
+    stay with the older one. Each message includes a fingerprint of the owners.
 
-    The list only grows while the process lives: a host that is down must still be
-    counted, else the rest would take a smaller majority for a whole one.
+    The list only grows while the process runs: a failed host must still be counted,
+    otherwise the rest would compute the majority from too small a number.
 
     Args:
         name: This host.
-        region_hosts: All hosts of the region, live or not.
-        copies: Owners of each key.
-        window: Which keys are in use.
-        clock: Tells the wall time.
+        region_hosts: Returns all hosts of the region, live or not.
+        copies: Number of owners of each key.
+        window: Determines which keys are in use.
+        clock: Source of the wall time.
 
     Attributes:
         history: Lists of the region's hosts, newest last.
-        fingerprint: Fingerprint of the newest.
+        fingerprint: Fingerprint of the newest list.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.fingerprint = fingerprint([name])
 
     def begin(self) -> None:
-        """Take the first list, which counts as the one that always was."""
+        """Set the initial list, which is treated as if it had always been used."""
         first = sorted({self._name, *self._region_hosts()})
         self.history = [HostList(hosts=first, since=0)]
         self.fingerprint = fingerprint(first)
@@ -80,27 +80,27 @@
 
     @property
     def since(self) -> int:
-        """Unix time (ms) at which this host took the newest list; 0: always."""
+        """Unix time (ms) at which the newest list was adopted; 0 if it is the first."""
         return self.history[-1].since
 
-    def since_of(self, host: HostName) -> int:
-        """Return when (Unix ms) this host first counted another; 0: always."""
+    def listed_since(self, host: HostName) -> int:
+        """Return when (Unix ms) a host was first listed; 0 if it always was."""
         times = [listed.since for listed in self.history if host in listed.hosts]
         return min(times, default=self.since)
 
     def restore(self, history: list[HostList]) -> None:
-        """Take the lists that this host used before it restarted."""
+        """Restore the lists that this host used before it restarted."""
         listed = self.hosts
         self.history = history
         self.fingerprint = fingerprint(self.hosts)
         self.add(listed)
 
     def refresh(self) -> bool:
-        """Take in new hosts of the region; True where there were any."""
+        """Add new hosts of the region; return whether there were any."""
         return self.add(self._region_hosts())
 
     def add(self, hosts: Iterable[HostName]) -> bool:
-        """Take in new hosts from now on; True where there were any."""
+        """Add new hosts to the list from now on; return whether there were any."""
         known = set(self.hosts)
         if known.issuperset(hosts):
             return False
@@ -110,19 +110,21 @@
         return True
 
     def prune(self) -> None:
-        """Forget lists by which no key in use is placed any more."""
+        """Remove lists that determine the owners of no key in use."""
         while len(self.history) > 1:
-            if self._window.in_use(self._window.switched(self.history[1].since)):
+            if self._window.is_in_use(
+                self._window.newest_old_list_key(self.history[1].since)
+            ):
                 return
             del self.history[0]
             self.history[0] = HostList(hosts=self.history[0].hosts, since=0)
 
     def of(self, key: bytes) -> tuple[HostName, ...]:
-        """Return the owners of a key; for one key always the same."""
+        """Return the owners of a key; they never change for a key."""
         return choose_owners(key, self._list_for(key).hosts, self._copies)
 
-    def newly_mine(self, key: bytes) -> bool:
-        """Tell whether a newer list made this host an owner of the key."""
+    def is_new_owner(self, key: bytes) -> bool:
+        """Return whether this host owns the key only since a newer list."""
         position = self.history.index(self._list_for(key))
         if position == 0:
             return False
@@ -130,8 +132,8 @@
         return self._name not in choose_owners(key, before, self._copies)
 
     def _list_for(self, key: bytes) -> HostList:
-        made = key_time(key)
+        created = key_time(key)
         for hosts in reversed(self.history):
-            if made > self._window.switched(hosts.since):
+            if created > self._window.newest_old_list_key(hosts.since):
                 return hosts
         return self.history[0]
--- a/packages/node/src/bronzepoint_node/run_once/_proposer.py
+++ b/packages/node/src/bronzepoint_node/run_once/_proposer.py
@@ -1,4 +1,4 @@
-"""Rounds of votes that read and change one register."""
+"""Proposer: reads and changes one register by rounds of votes."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -29,18 +29,18 @@
 Send = Callable[[HostName, Prepare | Accept], Awaitable[None]]
 
 RESENDS = 4
-"""Times a message is sent again within the timeout to copies that are silent."""
+"""Number of resends within the timeout to replicas that have not voted."""
 MAX_PAUSE = 0.02
-"""Longest pause (s) before a new round after a first one was preempted."""
+"""Maximum random pause (s) before a new round after one was preempted."""
 
 
 @dataclass(frozen=True)
 class Agreed:
-    """What a majority keeps.
+    """State that a majority of the replicas agreed on.
 
     Attributes:
-        state: The state; None where the register was never written.
-        following: Ballot promised for one more change, if it was written now.
+        state: The state; None if the register was never written.
+        following: Ballot promised for the next change; None if nothing was written.
     """
 
     state: State | None
@@ -50,15 +50,15 @@
 class Proposer:
     """Reads and changes registers by rounds of votes (CASPaxos).
 
-    The first half of a round asks a majority of the key's copies to refuse older
-    rounds and to tell their state; the second stores what the change function makes
-    of the newest one. Storing also promises the following ballot, so that the
-    outcome of a claim needs the second half alone.
+    The prepare phase asks a majority of the key's replicas to refuse older rounds and
+    to return their state. The accept phase stores the result of the change function
+    for the newest state. It also promises the following ballot, so that recording the
+    outcome of a claim needs only the accept phase.
 
     Args:
         name: This host.
-        owners: Says which hosts keep a key.
-        send: Delivers a message to one of them; may lose it.
+        owners: Determines which hosts keep a key.
+        send: Sends a message to a host; messages may be lost.
         metrics: Counts rounds and why they were repeated.
     """
 
@@ -71,18 +71,18 @@
         self._metrics = metrics
         self._rounds: dict[tuple[Phase, int, int], Round] = {}
 
-    async def take_vote(self, host: HostName, vote: Vote) -> None:
-        """Hand a copy's vote to the round that waits for it."""
+    async def add_vote(self, host: HostName, vote: Vote) -> None:
+        """Add a replica's vote to the round that waits for it."""
         current = self._rounds.get(_round_id(vote.phase, vote.ballot))
         if current is not None:
             await current.add(host, vote)
 
     async def change(self, key: bytes, change: Change, timeout: float) -> Agreed:
-        """Apply a change function to the register and return what is agreed then.
+        """Apply a change function to the register and return the agreed state.
 
         Args:
             key: The register's key.
-            change: Pure; may be called several times.
+            change: Pure function; may be called several times.
             timeout: Seconds.
 
         Raises:
@@ -113,7 +113,7 @@
     async def change_promised(
         self, key: bytes, ballot: Ballot, state: State, timeout: float
     ) -> bool:
-        """Store a state under a ballot promised before; False where it was preempted.
+        """Store a state under a promised ballot; return False if it was preempted.
 
         Raises:
             RoundFailed: No majority took part in time.
@@ -146,10 +146,10 @@
         deadline: float,
         stored: bool,
     ) -> Round:
-        """Send until a majority granted or one copy's promise preempted the round.
+        """Send until a majority granted or a replica's promise preempted the round.
 
         Raises:
-            RoundFailed: The deadline passed, or too few copies may vote.
+            RoundFailed: The deadline passed, or too few replicas may vote.
         """
         current = Round(message, owners)
         round_id = _round_id(phase, message.ballot)
@@ -158,7 +158,7 @@
         try:
             while current.state() is RoundState.waiting:
                 if await curio.clock() >= deadline:
-                    raise RoundFailed(self._silence(current), stored)
+                    raise RoundFailed(self._timeout_reason(current), stored)
                 for host in current.missing():
                     await self._send(host, message)
                 async with curio.ignore_after(interval):
@@ -170,10 +170,10 @@
             raise RoundFailed(", ".join(sorted(set(current.refusals()))), stored)
         return current
 
-    def _silence(self, current: Round) -> str:
+    def _timeout_reason(self, current: Round) -> str:
         self._metrics.incr("run_once.round.timeout")
-        silent = ", ".join(sorted(current.missing()))
-        return f"no vote in time from {silent}"
+        missing = ", ".join(sorted(current.missing()))
+        return f"no vote in time from {missing}"
 
 
 def _round_id(phase: Phase, ballot: Ballot) -> tuple[Phase, int, int]:
--- a/packages/node/src/bronzepoint_node/run_once/_copy.py
+++ b/packages/node/src/bronzepoint_node/run_once/_replica.py
@@ -1,13 +1,13 @@
-"""One host's copies of the registers: promises, states and expiry."""
+"""One host's replicas of the registers: promises, states and expiry."""
 
 import heapq
 
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.run_once._ballots import rank
-from bronzepoint_node.run_once._copy_log import LogRecord
 from bronzepoint_node.run_once._keys import KeyWindow
-from bronzepoint_node.run_once._knowledge import Knowledge
+from bronzepoint_node.run_once._knowledge import VotingRights
 from bronzepoint_node.run_once._owners import Owners, fingerprint
+from bronzepoint_node.run_once._replica_log import LogRecord
 from bronzepoint_schema.generated.run_once import (
     Accept,
     Phase,
@@ -19,43 +19,43 @@
 from bronzepoint_schema.ids import HostName
 
 
-class Copy:
-    """Votes on rounds, by the rules of Paxos for one register a key.
+class Replica:
+    """Paxos acceptor that holds one register per key and votes on rounds.
 
     A promise refuses all lower ballots; a state is stored only under a ballot at
-    least as high as the promise. `vote` changes memory at once and says whether the
-    change must be logged before the vote is sent.
+    least as high as the promise. `vote` changes memory immediately and returns the
+    register that must be logged before the vote is sent.
 
     Args:
-        owners: Which keys this host keeps.
-        knowledge: Which of them it may vote on.
-        window: Which keys are in use.
+        owners: Determines which hosts own a key.
+        voting_rights: Determines which keys this replica may vote on.
+        window: Determines which keys are in use.
         metrics: Counts refused votes by reason.
     """
 
     def __init__(
         self,
         owners: Owners,
-        knowledge: Knowledge,
+        voting_rights: VotingRights,
         window: KeyWindow,
         metrics: Metrics,
     ) -> None:
         self._owners = owners
-        self._knowledge = knowledge
+        self._voting_rights = voting_rights
         self._window = window
         self._metrics = metrics
         self.registers: dict[bytes, Register] = {}
-        # Keys begin with their time, so the smallest is the next to expire.
+        # Keys begin with their creation time, so the smallest expires next.
         self._oldest_first: list[bytes] = []
 
-    def keep(self, register: Register) -> None:
-        """Put a register in place of any other one of its key."""
+    def put(self, register: Register) -> None:
+        """Store a register, replacing any other one of its key."""
         if register.key not in self.registers:
             heapq.heappush(self._oldest_first, register.key)
         self.registers[register.key] = register
 
     def vote(self, message: Prepare | Accept) -> tuple[Vote, Register | None]:
-        """Return the vote, and the register to log before it is sent."""
+        """Return the vote, and the register to log before the vote is sent."""
         owners = self._owners.of(message.key)
         refusal = self._refusal(message, owners)
         if refusal is not None:
@@ -67,7 +67,7 @@
             return vote, None
         if register is None:
             register = Register(message.key, message.ballot)
-            self.keep(register)
+            self.put(register)
         match message:
             case Prepare(ballot=ballot):
                 register.promised = ballot
@@ -80,38 +80,38 @@
         return vote, register
 
     def merge(self, registers: list[Register]) -> list[Register]:
-        """Take in what another owner keeps; return the registers that changed.
+        """Merge the registers of another owner; return those that changed.
 
-        Keys that this copy may vote on already are left alone: it has answered for
-        them since, and its own state is the newer one.
+        Keys that this replica may already vote on are skipped: it has voted on them
+        since, so its own state is newer.
         """
         changed = []
-        for theirs in registers:
-            owners = self._owners.of(theirs.key)
-            if self._knowledge.covers(theirs.key, owners):
+        for received in registers:
+            owners = self._owners.of(received.key)
+            if self._voting_rights.may_vote(received.key, owners):
                 continue
-            if self._window.forgotten(theirs.key):
+            if self._window.may_be_dropped(received.key):
                 continue
-            if theirs.key not in self.registers:
-                self.keep(theirs)
-            mine = self.registers[theirs.key]
-            if rank(theirs.promised) > rank(mine.promised):
-                mine.promised = theirs.promised
-            if rank(theirs.accepted) > rank(mine.accepted):
-                mine.accepted = theirs.accepted
-                mine.state = theirs.state
-            changed.append(mine)
+            if received.key not in self.registers:
+                self.put(received)
+            own = self.registers[received.key]
+            if rank(received.promised) > rank(own.promised):
+                own.promised = received.promised
+            if rank(received.accepted) > rank(own.accepted):
+                own.accepted = received.accepted
+                own.state = received.state
+            changed.append(own)
         return changed
 
     def page(
         self, reader: HostName, cursor: bytes, max_bytes: int
     ) -> tuple[list[Register], bool]:
-        """Return registers that `reader` owns, after `cursor`, and whether all did fit.
+        """Return registers that `reader` owns, and whether the page is the last.
 
         Args:
             reader: The host that reads.
-            cursor: Last key of the page before.
-            max_bytes: Bodies of about this many bytes end a page.
+            cursor: Last key of the previous page.
+            max_bytes: Approximate size in bytes at which a page ends.
         """
         found: list[Register] = []
         size = 0
@@ -126,39 +126,41 @@
         return found, True
 
     def expire(self) -> int:
-        """Drop the registers of keys that nobody may use any more; return how many."""
+        """Drop the registers of expired keys; return how many."""
         oldest = self._oldest_first
         count = 0
-        while oldest and self._window.forgotten(oldest[0]):
+        while oldest and self._window.may_be_dropped(oldest[0]):
             del self.registers[heapq.heappop(oldest)]
             count += 1
         return count
 
     def records(self) -> list[LogRecord]:
-        """Return the registers to keep when the log is rewritten."""
+        """Return the registers to write when the log is compacted."""
         return [
             register
             for key, register in self.registers.items()
-            if not self._window.forgotten(key)
+            if not self._window.may_be_dropped(key)
         ]
 
     def _refusal(
         self, message: Prepare | Accept, owners: tuple[HostName, ...]
     ) -> VoteResult | None:
         key = message.key
-        if self._window.forgotten(key):
+        if self._window.may_be_dropped(key):
             return VoteResult.expired
         if message.owners != fingerprint(owners):
             return VoteResult.owners_differ
-        if self._window.unborn(key) or not self._knowledge.covers(key, owners):
+        if self._window.is_too_new(key) or not self._voting_rights.may_vote(
+            key, owners
+        ):
             return VoteResult.abstained
         return None
 
     def _is_preempted(self, message: Prepare | Accept, register: Register) -> bool:
         if rank(message.ballot) >= rank(register.promised):
             return False
-        # Storing a state promises the following ballot. A repeated Accept, sent since
-        # the vote was lost, is below that promise and yet was granted.
+        # Storing a state promises the following ballot. An Accept that is resent
+        # because the vote was lost is below that promise, although it was granted.
         stored = isinstance(message, Accept) and register.accepted == message.ballot
         return not stored
 
@@ -191,15 +193,16 @@
             ballot=message.ballot,
             phase=phase,
             result=result,
-            incarnation=self._knowledge.incarnation,
-            seen=self._knowledge.seen_by(owners),
+            incarnation=self._voting_rights.incarnation,
+            seen=self._voting_rights.known_incarnations(owners),
         )
 
 
 _REGISTER_OVERHEAD = 200
+"""Approximate bytes of a register in a message, without the body of its answer."""
 
 
 def register_bytes(register: Register) -> int:
-    """Return roughly how many bytes a register takes in a message."""
+    """Return the approximate size in bytes of a register in a message."""
     answer = getattr(register.state, "answer", None)
     return _REGISTER_OVERHEAD + (len(answer.body) if answer is not None else 0)
--- a/packages/node/src/bronzepoint_node/run_once/_copy_log.py
+++ b/packages/node/src/bronzepoint_node/run_once/_replica_log.py
@@ -1,4 +1,4 @@
-"""The log of a copy with a data folder: nothing is answered before it is synced."""
+"""Write-ahead log of a replica: a vote is sent only after its record is synced."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -21,10 +21,10 @@
 
 LOG_NAME = "run_once"
 MIN_RECORDS_TO_COMPACT = 2000
-"""Below this many records a log is not worth rewriting."""
+"""Minimum records in the log before it is compacted."""
 
 CLOSE_TIMEOUT = 2.0
-"""Seconds that a write in progress has to end when the log is closed."""
+"""Seconds to wait for a write in progress when the log is closed."""
 
 _log = get_logger("run_once")
 
@@ -35,16 +35,18 @@
     when_durable: WhenDurable
 
 
-class CopyLog:
-    """Appends records in groups: votes that arrive during a sync share the next one.
+class ReplicaLog:
+    """Appends records to a log and syncs them in groups.
 
-    A vote that is sent and then forgotten by a crash is the same as a vote by a copy
-    that lost its memory without knowing it, so each waits for its record. Without a
-    data folder there is nothing to wait for: such a copy knows that it forgets.
+    Votes that arrive during a sync share the next one.
+    If a vote were sent and its record then lost in a crash, the replica would have
+    lost memory without detecting it. So each vote waits until its record is durable.
+    Without a data folder there is no wait: such a replica knows that a restart loses
+    its memory.
 
     Args:
-        folder: Data folder; None: this host has no disk.
-        snapshot: Gives all records that are still needed, for compaction.
+        folder: Data folder; None if this host has no disk.
+        snapshot: Returns all records that are still needed, for compaction.
         metrics: Counts syncs and compactions.
     """
 
@@ -69,14 +71,14 @@
 
     @property
     def failed(self) -> bool:
-        """Whether a write failed: nothing is taken any more."""
+        """Whether a write failed; no more records are accepted then."""
         return self._failure is not None
 
     async def start(self) -> list[LogRecord]:
-        """Open the log and return what it holds.
+        """Open the log and return its records.
 
-        A damaged log is set aside, with an error in the log of the process: the copy
-        then starts as one that lost its memory and reads it back from the others.
+        A damaged log is renamed and an error is logged. The replica then starts as
+        one that lost its memory and reads the registers from the other hosts.
 
         Raises:
             StorageInUse: Another process holds the log.
@@ -97,10 +99,10 @@
         return [decoder.decode(line) for line in lines]
 
     async def close(self) -> None:
-        """Stop writing; what is pending was never answered."""
+        """Stop writing; votes for pending records were never sent."""
         if self._task is not None:
-            # A write in progress ends first: its thread can't be cancelled. A disk
-            # that hangs must not keep the process from ending.
+            # Wait for a write in progress, since its thread can't be cancelled, but
+            # only for a bounded time: a hung disk must not block the shutdown.
             self._closing = True
             await self._wakeup.set()
             async with curio.ignore_after(CLOSE_TIMEOUT):
@@ -111,9 +113,10 @@
             await curio.run_in_thread(self._log.close)
 
     async def submit(self, records: list[LogRecord], when_durable: WhenDurable) -> None:
-        """Append records, then run `when_durable`; return before that with a disk.
+        """Queue records and call `when_durable` once they are synced.
 
-        An empty list waits for all that was submitted before.
+        With a disk this returns before the sync. An empty list waits for all records
+        submitted before.
         """
         if self._log is None:
             await when_durable()
@@ -128,7 +131,7 @@
         """Append records and wait until they are durable.
 
         Raises:
-            StorageFailed: They may not be.
+            StorageFailed: The records may not be durable.
         """
         if self._failure is not None:
             raise self._failure
@@ -152,9 +155,9 @@
             try:
                 await self._write_group(group)
             except StorageFailed as exc:
-                # What reached the disk is unknown: an answer now could be forgotten.
-                # Silence looks to the others like a host that is down, which a
-                # majority stands.
+                # It is unknown what reached the disk, so a vote sent now could be
+                # lost. Not voting looks like a failed host to the others, which a
+                # majority tolerates.
                 self._failure = exc
                 self._metrics.incr("run_once.log.failed")
                 _log.error(str(exc))
--- a/packages/node/src/bronzepoint_node/run_once/_results.py
+++ b/packages/node/src/bronzepoint_node/run_once/_results.py
@@ -1,4 +1,4 @@
-"""What a claim may come to."""
+"""Possible results of a claim."""
 
 from dataclasses import dataclass, field
 
@@ -12,10 +12,10 @@
 
     Attributes:
         key: The 16 bytes of the key.
-        state: The state that the copies agreed on.
-        following: Ballot that the copies have promised for the outcome, if any.
-        dispatch_by: Elapsed time until which dispatch may begin unconfirmed.
-        closed: True once finished or released: it allows nothing any more.
+        state: The state that the replicas agreed on.
+        following: Ballot that the replicas have promised for the outcome, if any.
+        dispatch_by: Elapsed time (s) until which dispatch needs no confirmation.
+        closed: True once finished or released; dispatch is then not allowed.
     """
 
     key: bytes
@@ -34,17 +34,17 @@
 
 @dataclass(frozen=True)
 class Done:
-    """The request ran before; this is its answer."""
+    """The request ran before; holds its answer."""
 
     answer: StoredAnswer
 
 
 @dataclass(frozen=True)
 class InProgress:
-    """Another attempt is at work, or its host has not been silent for long enough.
+    """Another attempt runs, or its host does not answer but may still run it.
 
     Attributes:
-        retry_after: Seconds until a resend can be told more.
+        retry_after: Seconds until a resend may get a different result.
     """
 
     retry_after: float
@@ -67,11 +67,11 @@
 
 @dataclass(frozen=True)
 class Unavailable:
-    """No majority of the key's copies took part; this request was not run.
+    """No majority of the key's replicas took part; this request was not run.
 
     Attributes:
-        reason: What the copies that answered said.
-        retry_after: Seconds until another try makes sense.
+        reason: Why the replicas refused, or which ones did not vote.
+        retry_after: Seconds until the caller may try again.
     """
 
     reason: str
--- a/packages/node/src/bronzepoint_node/run_once/_round.py
+++ b/packages/node/src/bronzepoint_node/run_once/_round.py
@@ -1,4 +1,4 @@
-"""The votes of one half of a round."""
+"""Collects the votes of one phase of a round."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -19,7 +19,7 @@
 
 
 class RoundState(Enum):
-    """How one half of a round stands."""
+    """State of one phase of a round."""
 
     waiting = "waiting"
     granted = "granted"
@@ -27,18 +27,18 @@
 
 
 class Round:
-    """Collects votes until a majority granted, or none can any more.
+    """Collects votes until a majority has granted, or no majority is possible.
 
-    A copy that restarted without memory may have votes of an earlier incarnation on
-    their way. Such a vote counts for nothing: the copy no longer keeps what it says.
-    The sequence: it votes, loses its memory, reads a second copy before that one
-    stores the state, and then the second copy votes. Both votes arrive, one copy
-    alone knows. The second copy's vote tells that it was read by a newer incarnation,
-    so the older vote is dropped.
+    A replica that restarted without memory may have votes of an earlier incarnation
+    in flight. Such a vote must not count, because the replica no longer holds the
+    state it voted for. For example, it votes, loses its memory, and reads a second
+    replica before that one stores the state; then the second replica votes. Both
+    votes arrive, but only one replica holds the state. The second vote reports the
+    newer incarnation that read its sender, so the older vote is dropped.
 
     Args:
-        message: What the copies vote on.
-        owners: The copies, in the order in which votes tell incarnations.
+        message: Message that the replicas vote on.
+        owners: The replicas, in the order in which votes list incarnations.
     """
 
     def __init__(self, message: Prepare | Accept, owners: Sequence[HostName]) -> None:
@@ -48,18 +48,18 @@
         self.decided = curio.Event()
 
     async def add(self, host: HostName, vote: Vote) -> None:
-        """Take a vote; a later one of the same host replaces it."""
+        """Add a vote; it may replace an earlier one of the same host."""
         if host not in self._owners or vote.ballot != self.message.ballot:
             return
         earlier = self._votes.get(host)
-        if earlier is not None and _stands(earlier, vote):
+        if earlier is not None and _outranks(earlier, vote):
             return
         self._votes[host] = vote
         if self.state() is not RoundState.waiting:
             await self.decided.set()
 
     def missing(self) -> list[HostName]:
-        """Return the owners whose vote is not here, or no longer counts."""
+        """Return the owners whose vote is missing or no longer counts."""
         granted = self.granted()
         return [
             host
@@ -68,10 +68,10 @@
         ]
 
     def state(self) -> RoundState:
-        """Return how this half of the round stands.
+        """Return the state of this phase.
 
-        One copy that promised a higher ballot ends it: the others may be down, and
-        to wait for them would cost the whole timeout.
+        One replica that promised a higher ballot ends the phase: the others may be
+        down, and waiting for them would take the whole timeout.
         """
         needed = majority(len(self._owners))
         if len(self.granted()) >= needed:
@@ -100,7 +100,7 @@
         }
 
     def refusals(self) -> list[VoteResult]:
-        """Return why copies refused."""
+        """Return the reasons for which replicas refused."""
         return [
             vote.result
             for vote in self._votes.values()
@@ -108,7 +108,7 @@
         ]
 
     def highest_promise(self) -> Ballot | None:
-        """Return the highest ballot that a refusing copy has promised."""
+        """Return the highest ballot promised by a replica that refused."""
         promises = [vote.promised for vote in self._votes.values() if vote.promised]
         return max(promises, key=rank, default=None)
 
@@ -118,9 +118,9 @@
         return max(votes, key=lambda vote: rank(vote.accepted)).state
 
     def is_settled(self) -> bool:
-        """Tell whether all granted votes tell of the same stored ballot.
+        """Return whether all granted votes report the same stored ballot.
 
-        Then a majority keeps that state, and it needs not be written again.
+        A majority then stores that state, so it need not be written again.
         """
         return len({rank(vote.accepted) for vote in self.granted().values()}) == 1
 
@@ -129,8 +129,8 @@
         return vote is not None and vote.result is not VoteResult.granted
 
 
-def _stands(earlier: Vote, later: Vote) -> bool:
-    """Tell whether a vote holds against a doubled or reordered one of the same copy."""
+def _outranks(earlier: Vote, later: Vote) -> bool:
+    """Return whether an earlier vote outranks a duplicate or reordered later one."""
     if earlier.incarnation != later.incarnation:
         return earlier.incarnation > later.incarnation
     return earlier.result is VoteResult.granted
--- a/packages/node/src/bronzepoint_node/run_once/_run_once.py
+++ b/packages/node/src/bronzepoint_node/run_once/_run_once.py
@@ -1,4 +1,4 @@
-"""Runs each non-idempotent request at most once, whoever takes its resends."""
+"""Runs each non-idempotent request at most once, whichever host gets its resends."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -11,17 +11,17 @@
 from bronzepoint_node.run_once import _states
 from bronzepoint_node.run_once._answers import bound_answer
 from bronzepoint_node.run_once._attempts import Attempts
-from bronzepoint_node.run_once._background import Background
+from bronzepoint_node.run_once._background import BackgroundTasks
 from bronzepoint_node.run_once._claims import Claims
 from bronzepoint_node.run_once._clock import Clock
-from bronzepoint_node.run_once._copy import Copy
-from bronzepoint_node.run_once._copy_log import CopyLog, LogRecord
 from bronzepoint_node.run_once._keys import KeyWindow, new_key, parse_key
-from bronzepoint_node.run_once._knowledge import Knowledge
+from bronzepoint_node.run_once._knowledge import VotingRights
 from bronzepoint_node.run_once._outcomes import Outcomes
 from bronzepoint_node.run_once._owners import Owners
 from bronzepoint_node.run_once._proposer import Proposer
 from bronzepoint_node.run_once._recovery import Recovery
+from bronzepoint_node.run_once._replica import Replica
+from bronzepoint_node.run_once._replica_log import LogRecord, ReplicaLog
 from bronzepoint_node.run_once._results import ClaimResult, ClaimToken
 from bronzepoint_schema.generated import run_once as messages
 from bronzepoint_schema.generated.run_once import (
@@ -36,31 +36,31 @@
 from bronzepoint_schema.ids import HostName, IdempotencyKey, RequestId
 
 CALL_TIMEOUT = 1.0
-"""Seconds that another host has to tell of its attempt, or to give a page.
+"""Timeout (s) of a query for an attempt's status or for a page of registers.
 
-A round waits for the fastest majority, but such a call for one host, which may be gone:
-it must be short also where the settings give rounds a long time."""
+A round waits for the fastest majority, but such a query waits for a single host that
+may have failed. So it must be short even if the settings allow a round a long time."""
 EXPIRY_INTERVAL = 1.0
-"""Seconds between two rounds of dropping expired registers."""
+"""Seconds between two removals of expired registers."""
 
 _log = get_logger("run_once")
 
 
 class RunOnce:
-    """Claims idempotency keys for this host and keeps copies for the others.
+    """Claims idempotency keys for this host and votes as a replica of registers.
 
-    Each key has a register that a few hosts of the region keep. A host claims the key
-    by a majority of them before it dispatches the request, and records the outcome
-    there. No second claim succeeds unless the first one's host said that its attempt
-    certainly did not run.
+    Each key has a register that is replicated on a few hosts of the region. A host
+    must claim the key on a majority of them before it dispatches the request, and
+    records the outcome there. No second claim succeeds unless the first host reported
+    that its attempt certainly did not run.
 
     Args:
         name: This host.
         peers: Messages to and from other hosts.
-        region_hosts: All hosts of this region from settings and membership, live or
-            not; complete as to the settings when `start` is called.
+        region_hosts: Returns all hosts of this region from settings and membership,
+            live or not; must include all hosts of the settings when `start` is called.
         section: Settings.
-        data_folder: Folder of the log; None: this host has no disk.
+        data_folder: Folder of the log; None if this host has no disk.
         metrics: Counts results and refusals.
         clock: Wall and elapsed time.
     """
@@ -84,16 +84,18 @@
         self._owners = Owners(
             name, region_hosts, section.copies, self._window, self._clock
         )
-        self._knowledge = Knowledge(name, self._owners, self._window)
-        self._copy = Copy(self._owners, self._knowledge, self._window, metrics)
-        self._log = CopyLog(data_folder, self._log_records, metrics)
+        self._voting_rights = VotingRights(name, self._owners, self._window)
+        self._replica = Replica(
+            self._owners, self._voting_rights, self._window, metrics
+        )
+        self._log = ReplicaLog(data_folder, self._log_records, metrics)
         self._recovery = Recovery(
             name,
-            self._copy,
-            self._knowledge,
+            self._replica,
+            self._voting_rights,
             self._owners,
             self._log,
-            self._read,
+            self._read_page,
             metrics,
         )
         self._attempts = Attempts()
@@ -109,14 +111,14 @@
             self._window,
             self._clock,
             section,
-            self._ask,
+            self._query_attempt,
             metrics,
         )
-        self._background = Background()
+        self._background = BackgroundTasks()
         self._call_timeout = min(CALL_TIMEOUT, section.timeout)
 
     async def start(self) -> None:
-        """Read the log, begin to vote and, where memory was lost, to recover it.
+        """Read the log, start voting and, after a loss of memory, start recovery.
 
         Raises:
             StorageInUse: Another process holds the data folder.
@@ -128,10 +130,10 @@
         await self._background.spawn(self._expire)
 
     async def close(self, grace: float | None = None) -> None:
-        """Give outcomes not yet recorded a last chance, then stop.
+        """Wait for outcomes that are not yet recorded, then stop.
 
         Args:
-            grace: Seconds to wait for them; None: the timeout of the settings.
+            grace: Maximum seconds to wait; None for the timeout of the settings.
         """
         await self._outcomes.close(self._section.timeout if grace is None else grace)
         await self._background.close()
@@ -139,20 +141,20 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this host's copies may vote on new keys."""
+        """Whether this host's replica may vote on new keys."""
         if self._log.failed:
             return False
-        return self._knowledge.covers(new_key(self._clock), (self._name,))
+        return self._voting_rights.may_vote(new_key(self._clock), (self._name,))
 
     @property
     def recovered(self) -> bool:
-        """Whether this host knows all that the others can tell it."""
-        return self._knowledge.recovered
+        """Whether this host has read all that the other replicas hold."""
+        return self._voting_rights.recovered
 
     @property
     def registers(self) -> int:
-        """How many registers this host keeps."""
-        return len(self._copy.registers)
+        """Number of registers that this host keeps."""
+        return len(self._replica.registers)
 
     def owners(self, key: IdempotencyKey) -> tuple[HostName, ...]:
         """Return the hosts that keep a key's register.
@@ -165,18 +167,18 @@
     async def claim(
         self, key: IdempotencyKey, digest: bytes, request_id: RequestId
     ) -> ClaimResult:
-        """Claim the right to run a request, or find out what became of it.
+        """Claim the right to run a request, or return the result of an earlier claim.
 
-        Answers at once: it never waits for another attempt to end.
+        It never waits for another attempt to end.
 
         Args:
             key: The caller's key.
-            digest: Digest of all that makes the request: caller, target, body.
+            digest: Digest that identifies the request: caller, target and body.
             request_id: Identifier of this request.
 
         Raises:
             InvalidKey: The key is not a UUIDv7.
-            KeyAhead: The key was made in the future.
+            KeyAhead: The timestamp of the key is in the future.
         """
         key_bytes = parse_key(key)
         self._window.check_ahead(key_bytes)
@@ -185,25 +187,26 @@
         return result
 
     async def confirm(self, token: ClaimToken) -> bool:
-        """Tell whether dispatch may begin now; call right before each dispatch.
-
-        A host may be stopped between its claim and the dispatch, for longer than
-        others wait for it. They have then told the caller that the outcome is
-        unknown, and whoever looked at the target saw nothing. When the host wakes up
-        it must not run the request after all. So a claim allows dispatch for a short
-        time only, by a clock that goes on while the process is stopped; after it the
-        copies must confirm the claim anew.
+        """Return whether dispatch may begin now; call right before each dispatch.
+
+        A host may be stopped between its claim and the dispatch, for longer than the
+        others wait for it. They then tell the caller that the outcome is unknown, at
+        a time when nothing has reached the target. When the host resumes it must not
+        run the request. So a claim allows dispatch only for a short time, on a clock
+        that advances while the process is stopped. After that the replicas must
+        confirm the claim again.
         """
         return await self._claims.confirm(token)
 
     async def finish(self, token: ClaimToken, answer: StoredAnswer | None) -> bool:
-        """Record the outcome; True once a majority keeps it.
+        """Record the outcome; return whether a majority stored it.
 
-        Where no majority answers within the timeout, recording goes on beside.
+        If no majority answers within the timeout, recording continues in the
+        background.
 
         Args:
             token: The claim.
-            answer: The answer; None: whether the request ran is unknown.
+            answer: The answer; None if it is unknown whether the request ran.
         """
         identity = _states.identity(token.state)
         outcome: _states.Outcome = messages.Unknown(*identity)
@@ -212,15 +215,15 @@
         return await self._outcomes.record(token, outcome)
 
     async def release(self, token: ClaimToken) -> bool:
-        """Record that the request certainly did not run; True once a majority has it.
+        """Record that the request did not run; return whether a majority stored it.
 
-        A resend may then claim the key anew.
+        A resend may then claim the key again.
         """
         released = messages.Released(*_states.identity(token.state))
         return await self._outcomes.record(token, released)
 
-    async def _ask(self, other: messages.Claimed) -> messages.AskReply | None:
-        """Ask the host of an attempt about it; None: it does not answer."""
+    async def _query_attempt(self, other: messages.Claimed) -> messages.AskReply | None:
+        """Query the host of an attempt for its status; None if it does not answer."""
         if other.host == self._name:
             return self._attempts.reply(other.attempt)
         try:
@@ -242,7 +245,7 @@
         else:
             self._peers.post(host, Area.RUN_ONCE, message)
 
-    async def _read(self, host: HostName, message: messages.Read) -> messages.Page:
+    async def _read_page(self, host: HostName, message: messages.Read) -> messages.Page:
         return await self._peers.call(host, Area.RUN_ONCE, message, self._call_timeout)
 
     async def _handle(
@@ -252,7 +255,7 @@
             case messages.Prepare() | messages.Accept():
                 await self._vote(sender, message)
             case Vote():
-                await self._proposer.take_vote(sender, message)
+                await self._proposer.add_vote(sender, message)
             case messages.Ask(attempt=attempt):
                 return self._attempts.reply(attempt)
             case messages.Read():
@@ -262,12 +265,12 @@
     async def _vote(
         self, proposer: HostName, message: messages.Prepare | messages.Accept
     ) -> None:
-        """Vote, once what the vote says is durable."""
-        vote, register = self._copy.vote(message)
+        """Vote, and send the vote after its register is durable."""
+        vote, register = self._replica.vote(message)
 
         async def send_vote() -> None:
             if proposer == self._name:
-                await self._proposer.take_vote(self._name, vote)
+                await self._proposer.add_vote(self._name, vote)
             else:
                 self._peers.post(proposer, Area.RUN_ONCE, vote)
 
@@ -277,40 +280,40 @@
             await self._log.submit([register], send_vote)
 
     async def _restore(self, records: list[LogRecord]) -> None:
-        """Go on where the log ends, or begin an incarnation without memory."""
+        """Restore the state from the log, or start an incarnation without memory."""
         identity: Identity | None = None
         for record in records:
             match record:
                 case Identity():
                     identity = record
                 case PeerIncarnation(host=host, incarnation=incarnation):
-                    self._knowledge.learn_incarnation(host, incarnation)
+                    self._voting_rights.learn_incarnation(host, incarnation)
                 case Register():
-                    self._copy.keep(record)
+                    self._replica.put(record)
         if identity is not None:
             self._owners.restore(identity.history)
-            self._knowledge.restore(identity)
+            self._voting_rights.restore(identity)
         else:
-            self._knowledge.forget(self._clock.wall_ms())
-        await self._log.write([self._knowledge.identity()])
+            self._voting_rights.start_without_memory(self._clock.wall_ms())
+        await self._log.write([self._voting_rights.identity()])
         _log.info(
-            "run-once copies started",
-            registers=len(self._copy.registers),
+            "run-once replica started",
+            registers=len(self._replica.registers),
             kept_memory=identity is not None,
         )
 
     def _log_records(self) -> list[LogRecord]:
         incarnations = [
             PeerIncarnation(host, incarnation)
-            for host, incarnation in self._knowledge.seen.items()
+            for host, incarnation in self._voting_rights.incarnations.items()
         ]
-        identity = self._knowledge.identity()
-        return [identity, *incarnations, *self._copy.records()]
+        identity = self._voting_rights.identity()
+        return [identity, *incarnations, *self._replica.records()]
 
     async def _expire(self) -> None:
         while True:
-            self._copy.expire()
-            self._metrics.gauge("run_once.registers", len(self._copy.registers))
+            self._replica.expire()
+            self._metrics.gauge("run_once.registers", len(self._replica.registers))
             self._metrics.gauge("run_once.attempts", len(self._attempts))
             self._metrics.gauge("run_once.recovered", int(self.recovered))
             await curio.sleep(EXPIRY_INTERVAL)
--- a/packages/node/src/bronzepoint_node/run_once/_states.py
+++ b/packages/node/src/bronzepoint_node/run_once/_states.py
@@ -1,7 +1,7 @@
-"""Changes of a register's state, as pure functions from the present state.
+"""Changes of a register's state, as pure functions of the current state.
 
-Each takes the state that a majority told, None for a register never written, and
-returns the state to store; None leaves it as it is.
+Each takes the state that a majority reported, None for a register never written, and
+returns the state to store, or None to leave it unchanged.
 """
 
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 Change = Callable[[State | None], State | None]
 
 
-def claim(mine: Claimed) -> Change:
-    """Claim a key that was never claimed, or was released by the same request."""
+def claim(own_claim: Claimed) -> Change:
+    """Claim a key that was never claimed, or was released for the same request."""
 
     def change(state: State | None) -> State | None:
         match state:
             case None:
-                return mine
-            case Released(digest=digest) if digest == mine.digest:
-                return mine
+                return own_claim
+            case Released(digest=digest) if digest == own_claim.digest:
+                return own_claim
             case _:
                 return None
 
@@ -32,8 +32,8 @@
 def replace(observed: Claimed, new: State) -> Change:
     """Replace exactly the claim that was observed.
 
-    A claim that was confirmed again since has a later time and is not the same: its
-    host may just be starting to run the request.
+    A claim that was renewed since has a later time and is not replaced: its host may
+    be about to run the request.
     """
 
     def change(state: State | None) -> State | None:
@@ -43,10 +43,10 @@
 
 
 def conclude(attempt: bytes, outcome: Outcome) -> Change:
-    """Record the outcome of one's own attempt.
+    """Record the outcome of an attempt of this host.
 
-    Others may have taken its host for gone and recorded the outcome as unknown; the
-    attempt itself knows better.
+    Other hosts may have considered this host failed and recorded the outcome as
+    unknown; the known outcome replaces that.
     """
 
     def change(state: State | None) -> State | None:
@@ -60,10 +60,10 @@
 
 
 def is_claim_of(attempt: bytes, state: State | None) -> bool:
-    """Tell whether the register holds the claim of this attempt."""
+    """Return whether the state is the claim of this attempt."""
     return isinstance(state, Claimed) and state.attempt == attempt
 
 
 def identity(state: Claimed) -> tuple[bytes, HostName, bytes, RequestId]:
-    """Return the fields that every state of an attempt begins with."""
+    """Return the fields that all states of an attempt have in common."""
     return (state.attempt, state.host, state.digest, state.request_id)
--- a/tests/_run_once_network.py
+++ b/tests/_run_once_network.py
@@ -1,4 +1,4 @@
-"""Run-once hosts over a faked network that loses, doubles and delays messages."""
+"""Run-once hosts over a simulated network that loses, duplicates or delays messages."""
 
 import heapq
 import itertools
@@ -13,14 +13,17 @@
 from bronzepoint_node.run_once import Clock, RunOnce
 from bronzepoint_schema.generated.settings import RunOnceSection
 
-PATIENCE = 30.0
+MAX_WAIT = 30.0
+"""Maximum seconds to wait for a condition."""
 TICK = 0.0005
-LONGEST_CALL = 0.2
+"""Seconds between two deliveries of due messages."""
+MAX_CALL_TIME = 0.2
+"""Maximum seconds before a call to an unreachable host fails."""
 DIGEST = b"digest"
 
 
 class ShiftedClock(Clock):
-    """A clock that a test moves on."""
+    """Clock that a test advances."""
 
     def __init__(self):
         self.wall_shift = 0.0
@@ -34,7 +37,7 @@
 
 
 class FakePeers:
-    """The part of Peers that RunOnce uses."""
+    """Fake of the part of Peers that RunOnce uses."""
 
     def __init__(self, name, network):
         self.name = name
@@ -58,19 +61,19 @@
 
     async def call(self, peer, area, message, timeout):
         data = msgspec.msgpack.encode(message)
-        there = self._network.fates(self.name, peer, message)
-        back = self._network.fates(peer, self.name, message)
+        request_delays = self._network.delays_for(self.name, peer, message)
+        reply_delays = self._network.delays_for(peer, self.name, message)
         target = self._network.peers.get(peer)
         down = self.closed or target is None or not target.listening
-        if down or not there or not back:
-            await curio.sleep(min(timeout, LONGEST_CALL))
+        if down or not request_delays or not reply_delays:
+            await curio.sleep(min(timeout, MAX_CALL_TIME))
             raise PeerTimeout(peer, timeout)
-        await curio.sleep(there[0])
+        await curio.sleep(request_delays[0])
         try:
             reply = await target.handle(self.name, data)
         except Exception as exc:
             raise PeerFailed(peer, str(exc)) from exc
-        await curio.sleep(back[0])
+        await curio.sleep(reply_delays[0])
         return msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=self._union)
 
     async def handle(self, sender, data):
@@ -79,45 +82,51 @@
 
 
 class FakeNetwork:
-    """Delivers messages after the delays that `fate` gives: none, one or more."""
+    """Delivers messages after delays in seconds.
 
-    def __init__(self, fate: Callable[..., list[float]] | None = None):
-        self.fate = fate or (lambda *_: [0.0])
+    The delay function returns one delay for each copy of a message to deliver; an
+    empty list loses the message.
+    """
+
+    def __init__(self, delays: Callable[..., list[float]] | None = None):
+        self.delays = delays or (lambda *_: [0.0])
         self.peers: dict[str, FakePeers] = {}
-        self.cut: set[frozenset[str]] = set()
-        self.held: Callable[..., bool] = lambda *_: False
-        self.in_hand: list[tuple[str, str, bytes]] = []
+        self.blocked_links: set[frozenset[str]] = set()
+        self.should_hold: Callable[..., bool] = lambda *_: False
+        self.held_messages: list[tuple[str, str, bytes]] = []
         self.sent = 0
         self.sent_bytes = 0
         self._queue = []
         self._order = itertools.count()
         self._now = 0.0
 
-    def fates(self, source, target, message):
-        if frozenset((source, target)) in self.cut:
+    def delays_for(self, source, target, message):
+        if frozenset((source, target)) in self.blocked_links:
             return []
-        return self.fate(source, target, message)
+        return self.delays(source, target, message)
 
     def send(self, source, target, data):
         self.sent += 1
         self.sent_bytes += len(data)
-        if self.held(source, target, msgspec.msgpack.decode(data)):
-            self.in_hand.append((source, target, data))
+        if self.should_hold(source, target, msgspec.msgpack.decode(data)):
+            self.held_messages.append((source, target, data))
             return
-        for delay in self.fates(source, target, data):
+        for delay in self.delays_for(source, target, data):
             item = (self._now + delay, next(self._order), source, target, data)
             heapq.heappush(self._queue, item)
 
-    def let_go(self):
-        """Deliver what was held back."""
-        self.held = lambda *_: False
-        for source, target, data in self.in_hand:
+    def release_held(self):
+        """Deliver the messages that were held."""
+        self.should_hold = lambda *_: False
+        for source, target, data in self.held_messages:
             item = (self._now, next(self._order), source, target, data)
             heapq.heappush(self._queue, item)
-        self.in_hand = []
+        self.held_messages = []
 
     def isolate(self, name):
-        self.cut |= {frozenset((name, other)) for other in self.peers if other != name}
+        self.blocked_links |= {
+            frozenset((name, other)) for other in self.peers if other != name
+        }
 
     async def run(self):
         while True:
@@ -130,12 +139,12 @@
 
 
 class Region:
-    """Hosts of one region, each with its own RunOnce, in this process."""
+    """Hosts of one region in this process, each with its own RunOnce."""
 
-    def __init__(self, names="abc", fate=None, folder=None, disks=None, **section):
+    def __init__(self, names="abc", delays=None, folder=None, disks=None, **section):
         values = {"lifetime": 900.0, "clock_skew": 0.02, "timeout": 0.4, **section}
         self.section = RunOnceSection(**values)
-        self.network = FakeNetwork(fate)
+        self.network = FakeNetwork(delays)
         self.folder: Path | None = folder
         self.disks = set(names if disks is None else disks)
         self.settings = list(names)
@@ -144,7 +153,7 @@
         self.hosts: dict[str, RunOnce] = {}
 
     async def __aenter__(self):
-        self._pump = await curio.spawn(self.network.run, daemon=True)
+        self._delivery_task = await curio.spawn(self.network.run, daemon=True)
         for name in self.settings:
             await self.boot(name)
         await self.all_ready()
@@ -153,10 +162,10 @@
     async def __aexit__(self, *_):
         for name in list(self.hosts):
             await self.kill(name)
-        await self._pump.cancel()
+        await self._delivery_task.cancel()
 
     async def boot(self, name, settings=None):
-        """Start a host; it has memory only where its folder holds any."""
+        """Start a host; it restores its state if its folder holds a log."""
         settings = settings if settings is not None else list(self.settings)
         peers = FakePeers(name, self.network)
         has_disk = self.folder is not None and name in self.disks
@@ -177,7 +186,7 @@
         return host
 
     async def kill(self, name):
-        """End a host as SIGKILL does: it sends nothing any more."""
+        """Stop a host as SIGKILL does, so that it sends nothing more."""
         self.network.peers.pop(name).closed = True
         await self.hosts.pop(name).close(grace=0)
 
@@ -190,8 +199,8 @@
         return self.metrics.counters()
 
     async def wait(self, condition):
-        """Wait until a condition holds; only a fault makes it take long."""
-        async with curio.timeout_after(PATIENCE):
+        """Wait until a condition holds; time out only on a fault."""
+        async with curio.timeout_after(MAX_WAIT):
             while True:
                 result = condition()
                 if result if isinstance(result, bool) else await result:
--- a/tests/test_run_once_claims.py
+++ b/tests/test_run_once_claims.py
@@ -1,4 +1,4 @@
-"""Claims, outcomes and refusals over a faked network."""
+"""Claims, outcomes and refusals over a simulated network."""
 
 import time
 import unittest
@@ -26,7 +26,7 @@
 
 
 def key_at(seconds: float = 0.0) -> str:
-    """Return a UUIDv7 made `seconds` from now."""
+    """Return a UUIDv7 with a timestamp `seconds` from now."""
     made = round((time.time() + seconds) * 1000).to_bytes(6, "big")
     tail = bytearray(uuid.uuid4().bytes[6:])
     tail[0] = 0x70 | tail[0] & 0x0F
@@ -38,11 +38,11 @@
 
 
 class ClaimTest(unittest.TestCase):
-    def test_resend_elsewhere_gets_the_first_answer(self):
-        """The caller lost the answer and resends through another host.
+    def test_resend_to_another_host_gets_the_first_answer(self):
+        """A resend through another host after a lost answer must not run again.
 
-        Sequence: a runs the request and records the answer; the caller never sees it
-        and asks b. Without the agreed record b would run it again.
+        Host a runs the request and records the answer, but the caller does not get
+        it and resends through b.
         """
 
         async def main():
@@ -57,7 +57,7 @@
 
         curio.run(main)
 
-    def test_resend_during_the_first_is_told_to_come_back(self):
+    def test_resend_during_the_first_run_is_refused_as_in_progress(self):
         async def main():
             async with Region() as region:
                 key = key_at()
@@ -69,7 +69,7 @@
 
         curio.run(main)
 
-    def test_released_key_is_claimed_anew(self):
+    def test_released_key_can_be_claimed_again(self):
         async def main():
             async with Region() as region:
                 key = key_at()
@@ -81,8 +81,8 @@
 
         curio.run(main)
 
-    def test_of_many_at_once_one_claims(self):
-        """The caller's resends reach all hosts at the same moment."""
+    def test_one_of_many_concurrent_claims_succeeds(self):
+        """The caller's resends reach all hosts at the same time."""
 
         async def main():
             async with Region("abcde", copies=5) as region:
@@ -107,7 +107,7 @@
         curio.run(main)
 
     @params(("", InvalidKey), (str(uuid.uuid4()), InvalidKey), ("\0" * 99, InvalidKey))
-    def test_key_that_is_no_uuid7(self, key, error):
+    def test_key_that_is_not_a_uuid7_is_refused(self, key, error):
         async def main():
             async with Region("a", copies=1) as region:
                 with self.assertRaisesRegex(error, "UUIDv7"):
@@ -124,10 +124,10 @@
         curio.run(main)
 
     def test_resend_past_the_lifetime_is_refused_not_run(self):
-        """The record of a request that ran is gone, and the caller resends it.
+        """A resend after the record has expired must not run the request again.
 
-        Sequence: the request runs; its lifetime passes; every copy drops the record.
-        A claim that found no record would run it a second time.
+        After the key's lifetime every replica has dropped its register, so a claim
+        would find no record that the request ran.
         """
 
         async def main():
@@ -159,10 +159,10 @@
 
 class FailureTest(unittest.TestCase):
     def test_restarted_claimant_makes_the_outcome_unknown(self):
-        """The host that took the request was killed and came back.
+        """A claimant that restarts without memory may have dispatched the request.
 
-        Sequence: a claims and may have dispatched; it restarts without memory; the
-        caller resends through b. b must neither run it nor say it is in progress.
+        Host a claims and restarts; the caller resends through b. Host b must neither
+        run the request nor report it as in progress.
         """
 
         async def main():
@@ -176,8 +176,8 @@
 
         curio.run(main)
 
-    def test_silent_claimant_is_given_up_after_a_bounded_time(self):
-        """The host that took the request died and stays away."""
+    def test_unresponsive_claimant_makes_the_outcome_unknown_after_a_bounded_time(self):
+        """The host that claimed the request fails and does not restart."""
 
         async def main():
             async with Region() as region:
@@ -194,8 +194,11 @@
 
         curio.run(main)
 
-    def test_claimant_that_was_cut_off_records_its_answer_later(self):
-        """The answer came after others had given the claimant up."""
+    def test_partitioned_claimant_records_its_answer_later(self):
+        """The answer arrives after the outcome was recorded as unknown.
+
+        The claimant is partitioned, so the other hosts consider it failed.
+        """
 
         async def main():
             async with Region() as region:
@@ -206,7 +209,7 @@
                     clock.wall_shift = 10
                 self.assertEqual(await claim(region, "b", key), Unknown())
                 self.assertFalse(await region.hosts["a"].finish(first.token, ANSWER))
-                region.network.cut.clear()
+                region.network.blocked_links.clear()
 
                 async def known():
                     return await claim(region, "b", key) == Done(ANSWER)
@@ -216,12 +219,12 @@
         curio.run(main)
 
     @params((False,), (True,))
-    def test_host_that_wakes_up_confirms_its_claim(self, given_up):
-        """A host was stopped between its claim and the dispatch.
+    def test_host_that_resumes_confirms_its_claim(self, given_up):
+        """A host that was stopped between claim and dispatch confirms its claim.
 
-        Sequence: a claims and is stopped for longer than others wait; b tells the
-        caller that the outcome is unknown; a wakes up and would dispatch. Its claim
-        no longer stands, so it must not. Where nobody asked, it still stands.
+        Host a claims and is stopped for longer than others wait. If b has reported
+        the outcome as unknown meanwhile, a must not dispatch. If no resend came, its
+        claim is still valid.
         """
 
         async def main():
@@ -233,17 +236,17 @@
                     region.network.isolate("a")
                     region.clocks["b"].wall_shift = 10
                     self.assertEqual(await claim(region, "b", key), Unknown())
-                    region.network.cut.clear()
+                    region.network.blocked_links.clear()
                 confirmed = await region.hosts["a"].confirm(first.token)
                 self.assertEqual(confirmed, not given_up)
 
         curio.run(main)
 
-    def test_minority_refuses_and_the_key_stays_free(self):
-        """A host is cut off from the other copies.
+    def test_minority_refuses_and_the_key_stays_claimable(self):
+        """A partitioned host refuses the request as not run.
 
-        The refusal says that the request was not run; once the cut heals the same
-        key must be free, though one copy had stored the claim.
+        Another host must then be able to claim the key, although the replica of the
+        partitioned host stored its claim.
         """
 
         async def main():
@@ -254,28 +257,28 @@
                 second = await claim(region, "b", key)
                 self.assertIsInstance(second, Claimed)
                 await region.hosts["b"].finish(second.token, ANSWER)
-                region.network.cut.clear()
+                region.network.blocked_links.clear()
                 self.assertEqual(await claim(region, "a", key), Done(ANSWER))
 
         curio.run(main)
 
     def test_claim_whose_votes_were_lost_is_released(self):
-        """All copies stored the claim, but no vote came back.
+        """All replicas stored a claim, but their votes were lost.
 
-        The claimant refuses the request as not run. Nobody else may take the claim
-        for one at work: it would block the key for its whole lifetime.
+        The claimant refuses the request as not run. If other hosts treated the
+        claim as running, the key would be blocked for its whole lifetime.
         """
 
         async def main():
             async with Region() as region:
                 key = key_at()
                 stored = {"kind": "vote", "phase": "accept"}
-                region.network.held = lambda source, target, message: (
+                region.network.should_hold = lambda source, target, message: (
                     target == "a" and stored.items() <= message.items()
                 )
                 self.assertIsInstance(await claim(region, "a", key), Unavailable)
-                self.assertGreaterEqual(len(region.network.in_hand), 2)
-                region.network.held = lambda *_: False
+                self.assertGreaterEqual(len(region.network.held_messages), 2)
+                region.network.should_hold = lambda *_: False
 
                 async def claimed():
                     return isinstance(await claim(region, "b", key), Claimed)
--- a/tests/test_run_once_copies.py
+++ b/tests/test_run_once_copies.py
@@ -1,4 +1,4 @@
-"""Copies that lose their memory, restart from their log, or are added."""
+"""Replicas that lose their memory, restart from their log, or are added."""
 
 import errno
 import os
@@ -16,7 +16,7 @@
 from tests.test_run_once_claims import ANSWER, claim, key_at
 
 LOG = "run_once.log"
-PATIENCE = 30.0
+MAX_WAIT = 30.0
 
 
 async def run_and_finish(region, host, key):
@@ -25,12 +25,12 @@
     await region.hosts[host].finish(first.token, ANSWER)
 
 
-async def run_and_finish_patiently(region, host, key):
-    """Do so where a vote may come later than the short timeout, as beside load.
+async def run_and_finish_with_retries(region, host, key):
+    """Run and finish, with retries for votes that arrive after the short timeout.
 
-    Then nobody has claimed, and the caller comes back as it was told.
+    Votes may be late under load. The key is then unclaimed and the caller retries.
     """
-    until = monotonic() + PATIENCE
+    until = monotonic() + MAX_WAIT
     while isinstance(first := await claim(region, host, key), Unavailable):
         assert monotonic() < until, first
         await curio.sleep(0.05)
@@ -39,18 +39,18 @@
 
 
 async def wipe(region, name):
-    """Lose a host with all it knew, and start it again."""
+    """Restart a host without its memory."""
     await region.kill(name)
     await region.boot(name)
 
 
 class LostMemoryTest(unittest.TestCase):
-    def test_copies_lost_one_after_another(self):
-        """Each copy in turn is replaced by an empty one.
+    def test_replicas_lost_one_after_another(self):
+        """Every replica is replaced by an empty one, one after another.
 
-        Sequence: the request runs; a is lost and comes back empty, then b, then c. If
-        an empty copy voted without reading the others, a and b would be a majority
-        that never heard of the request, and it would run again.
+        After a request has run, a restarts empty, then b, then c. If an empty replica
+        voted before reading the others, a and b would be a majority without a record
+        of the request, and it would run again.
         """
 
         async def main():
@@ -66,10 +66,10 @@
 
         curio.run(main)
 
-    def test_second_copy_lost_before_the_first_has_recovered(self):
-        """Two of three copies are empty at once: nobody can tell who ran what.
+    def test_second_replica_lost_before_the_first_has_recovered(self):
+        """Two of three replicas are empty, so old keys can't be resolved.
 
-        Old keys are refused as not run, keys made after the loss are served.
+        Old keys are refused as not run; keys created after the loss are served.
         """
 
         async def main():
@@ -83,20 +83,20 @@
                 await region.wait(lambda: region.hosts["b"].ready)
                 self.assertIsInstance(await claim(region, "a", key), Unavailable)
                 self.assertIsInstance(await claim(region, "a", key_at()), Claimed)
-                region.network.cut.clear()
+                region.network.blocked_links.clear()
                 await region.wait(lambda: region.hosts["c"].ready)
                 self.assertIsInstance(await claim(region, "a", key), Unavailable)
 
         curio.run(main)
 
     def test_late_vote_of_an_earlier_incarnation_does_not_count(self):
-        """A copy's vote arrives after the copy has lost what it says.
+        """A replica's vote arrives after the replica has lost the state it voted for.
 
-        Sequence: d proposes a claim on a key of a, b and c. b stores it; its vote is
-        held up, and so is the message to a. b is lost and reads a and c, which know
-        nothing yet. Now b's vote and the message to a arrive, and a votes too: it
-        looks like a majority, but only a knows. b and c, which don't, are a majority
-        of their own and grant the key to c.
+        Host d proposes a claim on a key owned by a, b and c. Host b stores it, but its
+        vote and the message to a are delayed. Host b is wiped and reads a and c, which
+        hold nothing yet. Then b's vote and the message to a arrive, and a votes too.
+        This looks like a majority, but only a holds the claim: b and c could form
+        another majority and grant the key to c.
         """
 
         async def main():
@@ -106,22 +106,22 @@
                 while sorted(region.hosts["d"].owners(key)) != list("abc"):
                     key = key_at()
 
-                def held(source, target, message):
+                def should_hold(source, target, message):
                     accept = "accept" in (message["kind"], message.get("phase"))
                     return accept and (source, target) in {("b", "d"), ("d", "a")}
 
-                network.held = held
-                network.cut |= {frozenset("ac"), frozenset("cd")}
+                network.should_hold = should_hold
+                network.blocked_links |= {frozenset("ac"), frozenset("cd")}
                 proposal = await curio.spawn(claim, region, "d", key)
-                await region.wait(lambda: len(network.in_hand) >= 2)
-                network.cut.add(frozenset("bd"))
+                await region.wait(lambda: len(network.held_messages) >= 2)
+                network.blocked_links.add(frozenset("bd"))
                 await wipe(region, "b")
 
                 async def granted_to_c():
                     return isinstance(await claim(region, "c", key), Claimed)
 
                 await region.wait(lambda: region.hosts["b"].ready)
-                network.let_go()
+                network.release_held()
                 await region.wait(granted_to_c)
                 self.assertNotIsInstance(await proposal.join(), Claimed)
 
@@ -135,7 +135,7 @@
         self.folder = Path(folder.name)
 
     def test_whole_region_restarts(self):
-        """Every host with a disk is killed at once, as by a power failure."""
+        """All hosts are killed at the same time, as in a power failure."""
 
         async def main():
             async with Region(folder=self.folder, timeout=5.0) as region:
@@ -152,7 +152,7 @@
 
         curio.run(main)
 
-    def test_votes_in_one_sync_share_it(self):
+    def test_concurrent_votes_share_a_sync(self):
         async def main():
             async with Region("a", folder=self.folder, copies=1, timeout=5.0) as region:
                 before = region.counters()
@@ -171,9 +171,9 @@
         curio.run(main)
 
     def test_vote_waits_for_its_sync(self):
-        """A copy answered, lost power, and had written nothing.
+        """A vote that is sent before its sync is lost if the power fails.
 
-        While the disk hangs no vote may leave the host: the claim must fail.
+        While the disk hangs no vote may be sent, so the claim must fail.
         """
 
         async def main():
@@ -192,8 +192,8 @@
 
         curio.run(main)
 
-    def test_failed_disk_silences_the_copy(self):
-        """The disk is full: the copy must not vote on what it can't keep."""
+    def test_replica_with_failed_disk_does_not_vote(self):
+        """The disk is full: the replica must not vote on state it can't store."""
 
         async def main():
             async with Region(folder=self.folder) as region:
@@ -208,17 +208,17 @@
 
     @params((b"", "torn"), (b"\xff" * 40, "damaged"))
     def test_damaged_log_is_set_aside_and_read_from_others(self, patch, damage):
-        """One host's log is cut short or damaged while it is down.
+        """One host's log is truncated or damaged while it is down.
 
-        A torn last write was never answered, so the rest is used. Damage in the
-        middle means lost memory: the host reads the others and the process lives.
+        No vote was sent for a torn last write, so the rest of the log is used. Damage
+        in the middle is a loss of memory: the host starts and reads the others.
         """
 
         async def main():
             async with Region(folder=self.folder, timeout=5.0) as region:
                 key = key_at()
                 await run_and_finish(region, "a", key)
-                # Behind what is damaged there are whole records.
+                # There are intact records after the damaged one.
                 await run_and_finish(region, "a", key_at())
                 await region.kill("a")
                 path = self.folder / "a" / LOG
@@ -242,7 +242,7 @@
         async def main():
             async with Region("a", folder=self.folder, copies=1, timeout=5.0) as region:
                 with mock.patch(
-                    "bronzepoint_node.run_once._copy_log.MIN_RECORDS_TO_COMPACT", 10
+                    "bronzepoint_node.run_once._replica_log.MIN_RECORDS_TO_COMPACT", 10
                 ):
                     await region.kill("a")
                     await region.boot("a")
@@ -259,12 +259,12 @@
 
 
 class NewHostTest(unittest.TestCase):
-    def test_former_owners_and_new_ones_never_both_agree(self):
-        """Hosts are added while some hosts have not heard of them.
+    def test_previous_and_new_owners_never_both_agree(self):
+        """Hosts are added while some hosts don't have them on their lists yet.
 
-        Sequence: a, b and c keep every key; x and y join, and a alone hears of them.
-        For a key that now belongs to a, x and y, these could agree, and so could b
-        and c by the old list.
+        Hosts a, b and c own every key; x and y join, and only a learns of them. For a
+        key whose new owners are a, x and y, these could agree on one claim, and b and
+        c, with the old list, on another.
         """
 
         async def main():
@@ -272,7 +272,7 @@
                 everyone = list("abcxy")
                 for old in "bc":
                     for new in "xy":
-                        region.network.cut.add(frozenset((old, new)))
+                        region.network.blocked_links.add(frozenset((old, new)))
                 for new in "xy":
                     await region.boot(new, everyone)
                 a = region.hosts["a"]
@@ -283,18 +283,18 @@
                     results = [await claim(region, host, key) for host in "xb"]
                     kinds = [type(result) for result in results]
                     self.assertLessEqual(kinds.count(Claimed), 1)
-                region.network.cut.clear()
+                region.network.blocked_links.clear()
                 await region.all_ready()
                 await curio.sleep(4 * region.section.clock_skew)
                 key = key_at()
-                await run_and_finish_patiently(region, "x", key)
+                await run_and_finish_with_retries(region, "x", key)
                 for host in everyone:
                     self.assertEqual(await claim(region, host, key), Done(ANSWER))
 
         curio.run(main)
 
-    def test_keys_of_before_stay_with_their_owners(self):
-        """A request ran before a host was added, and is resent through that host."""
+    def test_older_keys_stay_with_their_owners(self):
+        """A request ran before a host was added and is resent through that host."""
 
         async def main():
             async with Region() as region:
--- a/tests/test_run_once_processes.py
+++ b/tests/test_run_once_processes.py
@@ -1,4 +1,4 @@
-"""At most once with real processes: hosts killed, frozen, wiped and cut off."""
+"""At-most-once execution with real processes: killed, frozen, wiped, partitioned."""
 
 import threading
 import unittest
@@ -19,14 +19,15 @@
 SERVICE = "bkk-steady"
 ENTRY = "notes"
 SLOW = 400.0
-"""Factor on the service's 5 ms: a call takes 2 s."""
+"""Factor on the service's 5 ms; a call then takes 2 s."""
 STUCK = 1e6
+"""Factor on the service's 5 ms; a call then does not end during the test."""
 VOTE_DELAY = 3.0
-"""Seconds in which the test must freeze a host whose claim has been stored."""
+"""Seconds within which the test must freeze a host after its claim was stored."""
 
 
 class Call:
-    """One non-idempotent call and its resends: one key, one nonce."""
+    """One non-idempotent call and its resends, with the same key and nonce."""
 
     def __init__(self, deployment):
         self._deployment = deployment
@@ -39,8 +40,8 @@
         body = {"nonce": self._nonce}
         return client.call_service(ENTRY, "POST", "/saved", body, self._key)
 
-    def send_beside(self, host):
-        """Send from a thread whose answer may never come."""
+    def send_in_background(self, host):
+        """Send from a thread, because the answer may never arrive."""
         replies = []
 
         def work():
@@ -74,7 +75,7 @@
 
 
 def target_state(deployment, host):
-    """Return what a host thinks of the service."""
+    """Return the state of the service as reported by a host."""
     targets = deployment.operator(host).targets()["targets"]
     return next(
         (target["state"] for target in targets if target["name"] == SERVICE), None
@@ -95,7 +96,7 @@
         deployment = Deployment(layout, proxied=proxied)
         self.addCleanup(deployment.close)
         deployment.start()
-        self.wait_copies(deployment)
+        self.wait_replicas(deployment)
         for host in REGION:
             wait_until(
                 lambda host=host: target_state(deployment, host) == "ready",
@@ -103,8 +104,8 @@
             )
         return deployment
 
-    def wait_copies(self, deployment, hosts=REGION):
-        """Wait until the copies of these hosts know all that the others know."""
+    def wait_replicas(self, deployment, hosts=REGION):
+        """Wait until the replicas of these hosts have recovered."""
 
         def recovered():
             return all(
@@ -112,10 +113,10 @@
                 for host in hosts
             )
 
-        wait_until(recovered, "the run-once copies have recovered")
+        wait_until(recovered, "the run-once replicas have recovered")
 
     def test_lost_answer(self):
-        """The caller lost the answer: it resends, to the same host and to another."""
+        """The answer is lost and the caller resends to the same and to other hosts."""
         deployment = self.deploy()
         call = Call(deployment)
         first = call.send("bkk-1")
@@ -125,8 +126,8 @@
             self.assertEqual((again.status, again.body), (200, first.body))
         self.assertEqual(call.runs(), 1)
 
-    def test_caller_left(self):
-        """The caller gave up waiting, over a weak network, and sends again."""
+    def test_caller_timed_out(self):
+        """The caller times out and resends while the first run is in progress."""
         deployment = self.deploy()
         deployment.set_faults(SERVICE, slow=SLOW)
         call = Call(deployment)
@@ -134,14 +135,14 @@
             call.send("bkk-1", timeout=0.5)
         call.wait_running()
         again = call.send("bkk-2")
-        # On a slow machine the first run may have ended by now.
+        # On a slow machine the first run may already have ended.
         if again.status != 200:
             self.assertEqual(again.refusal["kind"], "run_in_progress")
         call.wait_answered("bkk-2")
         self.assertEqual(call.runs(), 1)
 
-    def test_cut_answer_is_not_run_again(self):
-        """The service ran the call, and its answer was cut on the way."""
+    def test_truncated_answer_is_not_run_again(self):
+        """The service ran the call, but its answer was truncated in transit."""
         deployment = self.deploy()
         deployment.set_faults(SERVICE, cut_after=0)
         call = Call(deployment)
@@ -154,19 +155,19 @@
         self.assertEqual(call.runs(), 1)
 
     def test_killed_host(self):
-        """The host dies while the call runs; the caller resends through others.
+        """The host is killed while the call runs; the caller resends through others.
 
-        Whether the call ran is unknown to them: they say so and don't run it, before
-        and after the host comes back without memory of it.
+        They don't know whether the call ran. They must report that and not run it,
+        before and after the host restarts without memory.
         """
         deployment = self.deploy()
         deployment.set_faults(SERVICE, slow=STUCK)
         call = Call(deployment)
-        call.send_beside("bkk-2")
+        call.send_in_background("bkk-2")
         call.wait_running()
         deployment.kill("bkk-2")
         deployment.set_faults(SERVICE, slow=1.0)
-        # Which of the two depends on how long the kill took.
+        # The kind depends on how long the kill took.
         kinds = ("run_in_progress", "run_unknown")
         self.assertIn(call.send("bkk-1").refusal["kind"], kinds)
         call.wait_refused("bkk-3", "run_unknown")
@@ -175,11 +176,11 @@
         self.assertEqual(call.runs(), 1)
 
     def test_frozen_host(self):
-        """The host is stopped while the call runs, and wakes after it was given up."""
+        """The host is stopped during the call and resumes after it was given up."""
         deployment = self.deploy()
         deployment.set_faults(SERVICE, slow=SLOW)
         call = Call(deployment)
-        call.send_beside("bkk-2")
+        call.send_in_background("bkk-2")
         call.wait_running()
         deployment.freeze("bkk-2")
         call.wait_refused("bkk-1", "run_unknown")
@@ -188,11 +189,11 @@
         self.assertEqual(call.runs(), 1)
 
     def test_host_frozen_before_it_dispatches(self):
-        """The host is stopped between its claim and the send, and wakes much later.
+        """The host is stopped between claim and dispatch, and resumes much later.
 
-        Sequence: bkk-1 claims; the votes that make the claim its own are still on
-        the way when it is stopped; bkk-2 gives it up and says that the outcome is
-        unknown; bkk-1 wakes, gets the votes and must not send any more.
+        Host bkk-1 claims and is stopped while the votes for its claim are in flight.
+        Host bkk-2 then reports the outcome as unknown. When bkk-1 resumes and gets
+        the votes, it must not dispatch.
         """
         deployment = self.deploy(proxied=True, timeout=40)
         slow_links = [
@@ -210,16 +211,16 @@
         self.assertEqual(counter(deployment, "bkk-1", "run_once.confirm.lost"), 1)
 
     def freeze_with_claim(self, deployment):
-        """Freeze bkk-1 when others have stored its claim, before it hears so."""
+        """Freeze bkk-1 after others have stored its claim, before it gets the votes."""
         for _ in range(3):
             before = counter(deployment, "bkk-2", "run_once.stored")
             call = Call(deployment)
-            replies = call.send_beside("bkk-1")
+            replies = call.send_in_background("bkk-1")
             self.wait_stored(deployment, before)
             deployment.freeze("bkk-1")
             if call.runs() == 0:
                 return call, replies
-            # This process was too slow, and the votes had arrived.
+            # This process was too slow: the votes had already arrived.
             deployment.thaw("bkk-1")
         raise AssertionError("the host was never frozen in time")
 
@@ -229,11 +230,11 @@
 
         wait_until(stored, "bkk-2 has stored the claim")
 
-    def test_cut_link(self):
-        """The host that takes the call is cut off from all other copies.
+    def test_partitioned_host(self):
+        """The host that receives the call is partitioned from all other replicas.
 
-        It refuses at once and nothing runs; the same key goes through another host,
-        and once the cut heals the first host has the answer too.
+        It refuses the call and nothing runs. The same key is served by another host,
+        and after the partition heals the first host returns the answer too.
         """
         deployment = self.deploy(proxied=True)
         deployment.isolate_host("bkk-1")
@@ -247,7 +248,7 @@
         self.assertEqual(call.runs(), 1)
 
     def test_isolated_region(self):
-        """The region loses all others: its callers' calls and resends still work."""
+        """A region that is partitioned from all others still serves its callers."""
         deployment = self.deploy(proxied=True)
         deployment.isolate_region("bkk")
         call = Call(deployment)
@@ -256,8 +257,8 @@
             self.assertEqual(reply.status, 200, reply.body)
         self.assertEqual(call.runs(), 1)
 
-    def test_copies_lost_in_turn(self):
-        """Every copy of the record is lost, one after the other has recovered."""
+    def test_replicas_lost_one_after_another(self):
+        """Every replica is wiped, each after the previous one has recovered."""
         deployment = self.deploy()
         call = Call(deployment)
         first = call.send("bkk-1")
@@ -265,13 +266,13 @@
         for host in REGION:
             deployment.wipe(host)
             deployment.restart(host)
-            self.wait_copies(deployment)
+            self.wait_replicas(deployment)
         for host in REGION:
             self.assertEqual(call.wait_answered(host).body, first.body)
         self.assertEqual(call.runs(), 1)
 
-    def test_second_copy_lost_before_the_first_recovered(self):
-        """Two of three copies are lost at once: nobody knows whether the call ran."""
+    def test_second_replica_lost_before_the_first_recovered(self):
+        """Two of three replicas are wiped, so it is unknown whether the call ran."""
         deployment = self.deploy()
         call = Call(deployment)
         self.assertEqual(call.send("bkk-1").status, 200)
@@ -280,9 +281,9 @@
         for host in ["bkk-1", "bkk-2"]:
             deployment.restart(host)
         for host in ["bkk-1", "bkk-2"]:
-            # Until it has the catalogue, a host refuses everything as not ready.
+            # A host refuses all requests as not ready until it has the catalogue.
             deployment.wait_ready(host)
-        self.wait_copies(deployment)
+        self.wait_replicas(deployment)
         for host in REGION:
             refused = call.send(host)
             self.assertEqual(refused.refusal["kind"], "run_records_unavailable")
@@ -292,7 +293,7 @@
         self.assertEqual(fresh.runs(), 1)
 
     def test_resend_past_the_lifetime(self):
-        """The record has expired everywhere; a resend is refused, not run."""
+        """The record has expired on all replicas; a resend is refused, not run."""
         deployment = self.deploy(lifetime=3)
         call = Call(deployment)
         self.assertEqual(call.send("bkk-1").status, 200)
@@ -306,7 +307,7 @@
                 for host in REGION
             )
 
-        wait_until(dropped, "the copies have dropped the record")
+        wait_until(dropped, "the replicas have dropped the record")
         for host in REGION:
             call.wait_refused(host, "key_expired")
         self.assertEqual(call.runs(), 1)
--- a/tests/test_run_once_random.py
+++ b/tests/test_run_once_random.py
@@ -1,4 +1,4 @@
-"""At most one dispatch for each key, whatever the network and the hosts do."""
+"""At most one dispatch per key under random faults of the network and the hosts."""
 
 import random
 import shutil
@@ -37,48 +37,48 @@
 
 
 class History:
-    """What the target ran, and what callers were told."""
+    """Runs at the target, and answers that callers received."""
 
     def __init__(self):
         self.ran: dict[str, list[str]] = {}
-        self.told: list[tuple[str, str]] = []
+        self.received: list[tuple[str, str]] = []
 
     def dispatch(self, key, host):
         self.ran.setdefault(key, []).append(host)
         return StoredAnswer(status=200, body=f"{key} by {host}".encode())
 
-    def faults(self):
-        """Return keys that ran twice, and answers that no run gave."""
+    def violations(self):
+        """Return keys that ran twice, and answers that no run produced."""
         twice = [key for key, hosts in self.ran.items() if len(hosts) > 1]
         given = {f"{key} by {hosts[0]}" for key, hosts in self.ran.items()}
-        invented = [body for key, body in self.told if body not in given]
+        invented = [body for key, body in self.received if body not in given]
         return twice + invented
 
 
-def fate_from(seed):
-    """Lose a tenth of the messages, double a tenth, and delay all by up to 5 ms."""
+def random_delays(seed):
+    """Lose 10 % of the messages, duplicate 10 %, and delay all by up to 5 ms."""
     dice = random.Random(seed)
 
-    def fate(*_):
+    def delays(*_):
         copies = dice.choices([0, 1, 2], [1, 8, 1])[0]
         return [dice.uniform(0, 0.005) for _ in range(copies)]
 
-    return fate
+    return delays
 
 
 async def send(region, history, host, key, ending):
-    """Be an entry host with one request, up to the way it ends."""
+    """Handle one request as an entry host does, up to the given ending."""
     run_once = region.hosts[host]
     result = await claim(region, host, key)
     match result:
         case Done(answer=answer):
-            history.told.append((key, answer.body.decode()))
+            history.received.append((key, answer.body.decode()))
         case Claimed(token=token):
             if ending == "stop":
                 region.clocks[host].elapsed_shift += 10
             if not await run_once.confirm(token):
                 return
-            # The target's count: from here on the request may have run.
+            # A released request certainly did not run; all others may have run.
             if ending == "release":
                 await run_once.release(token)
                 return
@@ -91,7 +91,7 @@
             raise AssertionError("no other request has this key")
 
 
-async def play(region, history, keys, steps):
+async def run_steps(region, history, keys, steps):
     tasks: dict[str, list[curio.Task]] = {host: [] for host in HOSTS}
     used = list(keys)
     for step in steps:
@@ -100,8 +100,8 @@
                 work = send, region, history, host, keys[number], ending
                 tasks[host].append(await curio.spawn(*work, daemon=True))
             case ("restart" | "wipe" as fault, host):
-                # A host dies with all its requests; only the target remembers, and
-                # its disk where it has one.
+                # All requests of a failed host are lost. Only the target's runs and
+                # the host's disk, if it has one, remain.
                 region.network.peers[host].closed = True
                 for task in tasks[host]:
                     await task.cancel()
@@ -116,12 +116,12 @@
             case ("add",) if ADDED not in region.hosts:
                 await region.boot(ADDED, list(HOSTS + ADDED))
             case ("cut", one, other) if one != other:
-                region.network.cut.add(frozenset((one, other)))
+                region.network.blocked_links.add(frozenset((one, other)))
             case ("heal",):
-                region.network.cut.clear()
+                region.network.blocked_links.clear()
             case ("pause", ticks):
                 await curio.sleep(ticks / 1000)
-    region.network.cut.clear()
+    region.network.blocked_links.clear()
     for host in region.hosts:
         for key in used:
             await send(region, history, host, key, "finish")
@@ -142,11 +142,11 @@
         steps=st.lists(STEP, min_size=10, max_size=40),
     )
     def test_no_key_runs_twice(self, seed, steps):
-        """Messages are lost, doubled and reordered; hosts die, are wiped, or added.
+        """Messages are lost, duplicated and reordered; hosts fail, are wiped or added.
 
-        Sequence: chosen by hypothesis. Whatever it is, the target must not see two
-        requests of one key, no caller is told an answer that the target never gave,
-        and once all is well again a new key is served.
+        For every sequence chosen by hypothesis, the target must not run two requests
+        of one key, no caller may get an answer that the target did not produce, and
+        a new key must be served once all faults have ended.
         """
         history = History()
 
@@ -154,9 +154,9 @@
             disks = {"folder": Path(folder), "disks": DISKS}
             async with Region(HOSTS, timeout=0.05, **disks) as region:
                 keys = [key_at() for _ in range(KEYS)]
-                region.network.fate = fate_from(seed)
-                await play(region, history, keys, steps)
-                region.network.fate = lambda *_: [0.0]
+                region.network.delays = random_delays(seed)
+                await run_steps(region, history, keys, steps)
+                region.network.delays = lambda *_: [0.0]
 
                 async def served():
                     result = await claim(region, "a", key_at())
@@ -166,4 +166,4 @@
 
         with tempfile.TemporaryDirectory() as folder:
             curio.run(main, folder)
-        self.assertEqual(history.faults(), [])
+        self.assertEqual(history.violations(), [])
