--- a/packages/node/src/bronzepoint_node/__init__.py
+++ b/packages/node/src/bronzepoint_node/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of an entry host."""
+"""Daemon of an entry host."""
--- a/packages/node/src/bronzepoint_node/_daemon.py
+++ b/packages/node/src/bronzepoint_node/_daemon.py
@@ -1,4 +1,4 @@
-"""The parts of one daemon, put together, started and closed in order."""
+"""Builds the components of a daemon, and starts and closes them in order."""
 
 from pathlib import Path
 from typing import Any, Protocol
@@ -28,19 +28,19 @@
 from bronzepoint_schema.generated.settings import HttpSection, Settings
 from bronzepoint_schema.ids import HostName
 
-FORGET_TIMEOUT = 5.0
-"""Seconds to wait at shutdown until the region's hosts no longer name this one."""
+DRAIN_ACK_TIMEOUT = 5.0
+"""Seconds to wait at shutdown until the region's hosts know that this one drains."""
 _log = get_logger("daemon")
 
 
-class Part(Protocol):
-    """Something that a daemon starts and closes."""
+class Component(Protocol):
+    """Component that a daemon starts and closes."""
 
     async def start(self) -> Any:
-        """Begin to work."""
+        """Start the component."""
 
     async def close(self) -> None:
-        """Stop, and give back what it holds."""
+        """Stop the component and release its resources."""
 
 
 class Daemon:
@@ -105,8 +105,8 @@
             self._run_once,
             self._catalogue.view,
         )
-        self._gateway = Gateway(settings, self._collaborators())
-        self._parts: list[Part] = [
+        self._gateway = Gateway(settings, self._dependencies())
+        self._components: list[Component] = [
             LoopWatch(self._metrics),
             self._membership,
             self._catalogue,
@@ -118,8 +118,8 @@
             self._orders,
             self._load,
         ]
-        self._started: list[Part] = []
-        self._membership.on_forgotten(self._gateway.refuse_calls)
+        self._started: list[Component] = []
+        self._membership.on_drain_acknowledged(self._gateway.refuse_calls)
         self._server = HttpServer(
             self._gateway.handle,
             http_limits(settings.http),
@@ -127,61 +127,61 @@
         )
 
     async def start(self) -> None:
-        """Start every part; callers are let in last.
+        """Start every component; the port for callers is opened last.
 
         Raises:
             AddressUnusable: An address of [listen] can't be listened on.
-            StorageCorrupt, StorageInUse: The data folder can't be used.
+            StorageCorrupt, StorageInUse: The data folder is damaged or in use.
         """
         listen = self._settings.listen
-        await self._start_part(self._metrics)
+        await self._start_component(self._metrics)
         with listening("peer", listen.peer):
-            await self._start_part(self._peers)
-        for part in self._parts:
-            await self._start_part(part)
+            await self._start_component(self._peers)
+        for component in self._components:
+            await self._start_component(component)
         with listening("http", listen.http):
             await self._server.start(listen.http)
         _log.info("started", http=self._server.address)
 
     async def close(self) -> None:
-        """Leave without cutting a request in progress.
+        """Drain and stop without truncating a request in progress.
 
-        The other hosts forget this one before it stops accepting: a caller that was
-        just told to come here must still be answered, if only by a refusal that names
-        other hosts.
+        The region's hosts stop naming this host before it stops accepting: a caller
+        that was just directed here must still get an answer, if only a refusal that
+        names other hosts.
         """
         self._drain()
-        forgotten = await self._membership.wait_forgotten(FORGET_TIMEOUT)
-        _log.info("draining", forgotten=forgotten)
+        acknowledged = await self._membership.wait_drain_acknowledged(DRAIN_ACK_TIMEOUT)
+        _log.info("draining", forgotten=acknowledged)
         self._gateway.refuse_calls()
         await self._server.close(self._settings.http.drain_timeout)
-        await self.close_parts()
+        await self.close_components()
         _log.info("closed")
 
-    async def close_parts(self) -> None:
-        """Close what was started, the last first.
+    async def close_components(self) -> None:
+        """Close the started components in reverse order.
 
         Raises:
-            ExceptionGroup: Parts that could not be closed; the others are closed all
-                the same, so that one bad file does not keep a record from being
-                copied or a log from being synced.
+            ExceptionGroup: Errors of the components that could not be closed. The
+                others are still closed, so that one bad file does not prevent a
+                record from being copied or a log from being synced.
         """
         errors: list[Exception] = []
         while self._started:
-            part = self._started.pop()
+            component = self._started.pop()
             try:
-                await part.close()
+                await component.close()
             except Exception as exc:
                 errors.append(exc)
         await self._client.close()
         if errors:
-            raise ExceptionGroup("some parts could not be closed", errors)
+            raise ExceptionGroup("some components could not be closed", errors)
 
-    async def _start_part(self, part: Part) -> None:
-        await part.start()
-        self._started.append(part)
+    async def _start_component(self, component: Component) -> None:
+        await component.start()
+        self._started.append(component)
 
-    def _collaborators(self) -> Collaborators:
+    def _dependencies(self) -> Collaborators:
         return Collaborators(
             catalogue=self._catalogue.view,
             membership=self._membership,
@@ -201,7 +201,7 @@
         )
 
     def _drain(self) -> None:
-        """Take no new callers, as soon as nobody is told to come here any more."""
+        """Start draining; callers are refused once no host directs them here."""
         self._gateway.drain()
         self._membership.set_draining()
 
@@ -214,7 +214,7 @@
 
 
 def http_limits(section: HttpSection) -> HttpLimits:
-    """Return the bounds of the [http] section for a server or client."""
+    """Return the limits in the [http] section, for a server or client."""
     return HttpLimits(
         max_head=section.max_head,
         max_body=section.max_body,
@@ -226,17 +226,17 @@
 
 
 async def run_daemon(settings: Settings, log_handler: JsonLinesHandler) -> None:
-    """Run one daemon until SIGTERM or SIGINT; a second signal ends it at once."""
+    """Run one daemon until SIGTERM or SIGINT; a second signal stops it immediately."""
     await curio.spawn(log_handler.flush_periodically, daemon=True)
     async with SignalWaiter() as signals:
         daemon = Daemon(settings)
         try:
             await daemon.start()
         except BaseException:
-            await daemon.close_parts()
+            await daemon.close_components()
             raise
         await signals.wait()
         closing = await curio.spawn(daemon.close)
-        impatience = await curio.spawn(signals.wait)
-        async with curio.TaskGroup([closing, impatience], wait=any):
+        second_signal = await curio.spawn(signals.wait)
+        async with curio.TaskGroup([closing, second_signal], wait=any):
             pass
--- a/packages/node/src/bronzepoint_node/_load_publisher.py
+++ b/packages/node/src/bronzepoint_node/_load_publisher.py
@@ -1,4 +1,4 @@
-"""Tells the other hosts, at an interval, what this host carries."""
+"""Periodically publishes this host's load to the other hosts."""
 
 import curio
 import msgspec
@@ -11,11 +11,11 @@
 from bronzepoint_schema.generated.membership import EntryShare
 
 PUBLISH_INTERVAL = 0.5
-"""Seconds between two summaries; gossip carries the newest one."""
+"""Seconds between two load summaries; gossip sends the latest one."""
 
 
 class LoadPublisher:
-    """Puts the load summary together from the parts that know it."""
+    """Builds the load summary of this host and publishes it to membership."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to publish."""
+        """Start publishing."""
         self._task = await curio.spawn(self._run)
 
     async def close(self) -> None:
--- a/packages/node/src/bronzepoint_node/membership/__init__.py
+++ b/packages/node/src/bronzepoint_node/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: hosts by gossip, regions by reports, failure detection, draining."""
+"""Membership: gossip between hosts, reports between regions, failure detection."""
 
 from bronzepoint_node.membership._membership import Membership
 from bronzepoint_node.membership._notice_table import supersedes
--- a/packages/node/src/bronzepoint_node/membership/_draining.py
+++ b/packages/node/src/bronzepoint_node/membership/_draining.py
@@ -1,4 +1,4 @@
-"""Telling the region that this host is leaving, before it stops accepting."""
+"""Announces to the region that this host drains, before it stops accepting."""
 
 from collections.abc import Callable
 
@@ -7,36 +7,40 @@
 
 
 class Draining:
-    """Tells each host of the region once that this one is draining.
+    """Announces the draining once to each host of the region.
 
-    Without this, a host that stops accepting at once is still named to callers by
-    those that have not heard of it: the callers' connections are refused.
+    If a host stopped accepting immediately, hosts that don't know yet would still
+    direct callers to it, whose connections would be refused.
 
     Args:
-        gossip: Carries out the exchanges; its pulses already say that it drains.
+        gossip: Performs the exchanges; its heartbeats already carry the draining flag.
         timeout: Seconds to wait for one host's reply.
     """
 
     def __init__(self, gossip: Gossip, timeout: float) -> None:
         self._gossip = gossip
         self._timeout = timeout
-        self._told: set[HostName] = set()
+        self._acknowledged: set[HostName] = set()
         self._callbacks: list[Callable[[], None]] = []
 
-    def on_forgotten(self, callback: Callable[[], None]) -> None:
-        """Call back once when every host that isn't dead has been told."""
+    def on_drain_acknowledged(self, callback: Callable[[], None]) -> None:
+        """Register a callback, called once when every host not dead has replied."""
         self._callbacks.append(callback)
 
-    async def tell(self) -> bool:
-        """Tell the hosts that haven't replied yet; True where all have."""
-        missing = self._missing()
-        self._told |= await self._gossip.exchange_with(missing, self._timeout)
-        if self._missing():
+    async def announce(self) -> bool:
+        """Announce to the hosts that haven't replied; return whether all have."""
+        unacknowledged = self._unacknowledged()
+        self._acknowledged |= await self._gossip.exchange_with(
+            unacknowledged, self._timeout
+        )
+        if self._unacknowledged():
             return False
         callbacks, self._callbacks = self._callbacks, []
         for callback in callbacks:
             callback()
         return True
 
-    def _missing(self) -> list[HostName]:
-        return [name for name in self._gossip.reachable() if name not in self._told]
+    def _unacknowledged(self) -> list[HostName]:
+        return [
+            name for name in self._gossip.reachable() if name not in self._acknowledged
+        ]
--- a/packages/node/src/bronzepoint_node/membership/_host_views.py
+++ b/packages/node/src/bronzepoint_node/membership/_host_views.py
@@ -1,4 +1,4 @@
-"""Hosts as the rest of the process sees them."""
+"""Combined view of the hosts for the other components of the process."""
 
 from bronzepoint_node.membership._host_table import HostTable
 from bronzepoint_node.membership._pulse import expand_revision
@@ -10,16 +10,17 @@
 from bronzepoint_schema.ids import HostName, RegionName
 
 _CACHE_LIFETIME = 0.1
+"""Seconds for which the list of the own region's hosts is cached."""
 
 
 class HostViews:
-    """Puts together what gossip, reports and settings say of hosts.
+    """Combines data on hosts from gossip, reports of regions and the settings.
 
     Args:
         hosts: Hosts of this host's region.
         regions: Reports of regions.
-        peers: Hosts that the settings name.
-        clock: Time in which this process ran.
+        peers: Hosts in the settings.
+        clock: Clock that excludes pauses of this process.
     """
 
     def __init__(
@@ -40,10 +41,12 @@
     def own_region(self, revision: int) -> list[HostInfo]:
         """Return all known hosts of this host's region.
 
-        Each request asks; what it gets may be `_CACHE_LIFETIME` seconds old.
+        This is called for each request, so the result is cached for
+        `_CACHE_LIFETIME` seconds.
 
         Args:
-            revision: This host's catalogue revision, near which the others' are.
+            revision: This host's catalogue revision, used to expand the low bits of
+                the other hosts' revisions.
         """
         now = self._clock.now()
         if self._cached_version != self._hosts.version or now >= self._cached_until:
@@ -56,13 +59,13 @@
     def other_region(
         self, region: RegionName, seeds: list[HostRecord]
     ) -> list[HostInfo]:
-        """Return the hosts that another region named, and those of the settings."""
+        """Return the hosts that another region listed, and those of the settings."""
         summary = self._regions.summary(region)
         listed = {record.name: record for record in self._regions.hosts(region)}
         state = HostState.live if summary.reachable else HostState.suspect
         infos = [self._remote(record, state) for record in listed.values()]
-        # A region that lists all its live hosts has lost the others; before the first
-        # report, or behind a short list, nothing is known of them.
+        # If a region lists all its live hosts, its other hosts are dead. Before the
+        # first report, or if its list is not complete, their state is unknown.
         all_listed = summary.reachable and summary.live <= len(listed)
         rest = HostState.dead if all_listed else HostState.suspect
         for record in seeds:
@@ -86,10 +89,10 @@
         )
 
     def _http_address(self, name: HostName, gossiped: str) -> str:
-        """Return the address of the settings, where they name the host.
+        """Return the address in the settings, or the gossiped one if there is none.
 
-        How a host is reached can differ from where it listens, and from one host to
-        the next; what the operator wrote goes before what the host says.
+        A host may be reached at another address than the one it listens on, which can
+        differ between hosts. So the operator's setting takes precedence.
         """
         listed = self._peers.get(name)
         return gossiped if listed is None else listed.http
--- a/packages/node/src/bronzepoint_node/membership/_load_shares.py
+++ b/packages/node/src/bronzepoint_node/membership/_load_shares.py
@@ -1,4 +1,4 @@
-"""The load of this host's region, added up by its relays."""
+"""Load of this host's region, summed up by the hosts that report it."""
 
 from bronzepoint_node.membership._running_clock import RunningClock
 from bronzepoint_schema.generated.membership import EntryLoad, EntryShare
@@ -6,10 +6,10 @@
 
 
 class LoadShares:
-    """Keeps what each host said of its part and adds the parts up.
+    """Stores the load that each host reported, and sums it up per entry.
 
     Args:
-        clock: Time in which this process ran.
+        clock: Clock that excludes pauses of this process.
     """
 
     def __init__(self, clock: RunningClock) -> None:
@@ -17,11 +17,11 @@
         self._shares: dict[HostName, tuple[float, list[EntryShare]]] = {}
 
     def put(self, host: HostName, entries: list[EntryShare]) -> None:
-        """Keep one host's part."""
+        """Store the load reported by one host."""
         self._shares[host] = (self._clock.now(), entries)
 
     def sum(self, lifetime: float) -> dict[EntryName, EntryLoad]:
-        """Return the load of each entry, without parts older than the lifetime."""
+        """Return the load of each entry, without reports older than `lifetime` (s)."""
         oldest = self._clock.now() - lifetime
         self._shares = {
             host: share for host, share in self._shares.items() if share[0] >= oldest
@@ -36,7 +36,7 @@
 def _add(shares: list[EntryShare]) -> EntryLoad:
     count = len(shares)
     return EntryLoad(
-        # Each host sees the slots of the whole region, though not quite the same.
+        # Each host reports the slots of the whole region, with small differences.
         slots=round(sum(share.slots for share in shares) / count),
         in_progress=sum(share.in_progress for share in shares),
         expected_wait=sum(share.expected_wait for share in shares) / count,
--- a/packages/node/src/bronzepoint_node/membership/_notice_table.py
+++ b/packages/node/src/bronzepoint_node/membership/_notice_table.py
@@ -1,4 +1,4 @@
-"""Notices of leaving targets, passed on between the hosts of a region."""
+"""Notices of leaving targets, shared between the hosts of a region."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -10,20 +10,20 @@
 from bronzepoint_schema.ids import TargetName
 
 NOTICE_LIFETIME = 300.0
-"""Seconds after which a notice counts no more.
+"""Seconds after which a notice expires.
 
-A notice that lived on for ever would, after a long partition, bring back what a target
-said before it returned. Who goes on polling a leaving target renews its notice.
+Without expiry, the end of a long partition would bring back notices from before a
+target returned. Hosts that continue to poll a leaving target renew its notice.
 """
 
 _Key = tuple[TargetName, NoticeSource]
 
 
 class NoticeTable:
-    """The newest notice of each target from each source.
+    """Stores the newest notice of each target from each source.
 
     Args:
-        wall_clock: Unix time in seconds.
+        wall_clock: Returns the Unix time in seconds.
     """
 
     def __init__(self, wall_clock: Callable[[], float] = time.time) -> None:
@@ -31,7 +31,7 @@
         self._notices: dict[_Key, TargetNotice] = {}
 
     def merge(self, notices: Iterable[TargetNotice]) -> list[TargetNotice]:
-        """Take over what is newer and return it."""
+        """Merge notices and return those that were newer."""
         now = self._wall_clock()
         taken = []
         for notice in notices:
@@ -45,7 +45,7 @@
         return taken
 
     def drop_old(self) -> None:
-        """Drop the notices that count no more."""
+        """Drop expired notices."""
         oldest = self._wall_clock() - NOTICE_LIFETIME
         self._notices = {
             key: notice
@@ -58,13 +58,13 @@
         return list(self._notices.values())
 
     def newest(self, count: int) -> list[TargetNotice]:
-        """Return the newest notices, at most so many."""
+        """Return at most `count` notices, newest first."""
         ordered = sorted(self._notices.values(), key=lambda n: n.as_of, reverse=True)
         return ordered[:count]
 
     @property
     def digest(self) -> int:
-        """Sum over the notices, equal where two hosts have the same."""
+        """XOR of the notices' hashes; equal if two hosts have the same notices."""
         total = 0
         for notice in self._notices.values():
             total ^= xxhash.xxh32_intdigest(msgspec.msgpack.encode(notice))
@@ -75,6 +75,7 @@
     """Return whether a notice replaces one of the same target and source."""
     if notice.as_of != known.as_of:
         return notice.as_of > known.as_of
-    # At the same moment the careful reading wins: a target that is leaving and gets
-    # work is a fault, one that stays and gets none for a second is not.
+    # At the same time, the notice that the target is leaving wins: it is a fault to
+    # send requests to a leaving target, but not to send none for a second to one
+    # that stays.
     return notice.leaving and not known.leaving
--- a/packages/node/src/bronzepoint_node/membership/_pulse.py
+++ b/packages/node/src/bronzepoint_node/membership/_pulse.py
@@ -1,4 +1,4 @@
-"""Pulses: the few bytes of each host that change with every round of gossip."""
+"""Heartbeats: the few bytes per host that change in every gossip round."""
 
 import struct
 from collections.abc import Iterable
@@ -11,16 +11,19 @@
 
 _PACKED = struct.Struct("<IIHBB")
 REVISION_BITS = 16
+"""Low bits of a catalogue revision that a heartbeat contains."""
 _REVISION_MASK = (1 << REVISION_BITS) - 1
 _LOAD_STEPS = 100
+"""Steps of the encoded load per unit of load, that is hundredths."""
 _MAX_LOAD = 255
+"""Maximum encoded load, in hundredths."""
 
 HostId = int
-"""32 bits that stand for one incarnation of one host."""
+"""32-bit identifier of one incarnation of one host."""
 
 
-class PulseFlag(IntFlag):
-    """What a host says about itself beside its numbers."""
+class HeartbeatFlag(IntFlag):
+    """Flags that a host sets in its heartbeats."""
 
     NONE = 0
     DRAINING = 1
@@ -28,36 +31,36 @@
     RUN_ONCE_READY = 4
 
 
-_FLAGS = [PulseFlag(bits) for bits in range(8)]
+_FLAGS = [HeartbeatFlag(bits) for bits in range(8)]
 
 
-class Pulse(NamedTuple):
-    """What one host said last, 12 bytes on the wire.
+class Heartbeat(NamedTuple):
+    """Heartbeat of one host, 12 bytes on the wire.
 
     Attributes:
-        counter: heartbeats since the host started; a higher one supersedes.
-        revision: low 16 bits of its catalogue revision.
-        load: its load in hundredths, 255 and above as 255.
+        counter: Heartbeats since the host started; a higher one replaces a lower one.
+        revision: Low 16 bits of the host's catalogue revision.
+        load: Load in hundredths, at most 255.
     """
 
     host_id: HostId
     counter: int
     revision: int
     load: int
-    flags: PulseFlag
+    flags: HeartbeatFlag
 
     @property
     def load_share(self) -> float:
-        """The load as a share of what the host can take."""
+        """Load as a fraction of the host's capacity."""
         return self.load / _LOAD_STEPS
 
 
-def make_pulse(
-    host_id: HostId, counter: int, revision: int, load: float, flags: PulseFlag
-) -> Pulse:
-    """Return a pulse, with its numbers cut to what fits the wire."""
+def make_heartbeat(
+    host_id: HostId, counter: int, revision: int, load: float, flags: HeartbeatFlag
+) -> Heartbeat:
+    """Return a heartbeat, with its numbers limited to their size on the wire."""
     hundredths = min(_MAX_LOAD, max(0, round(load * _LOAD_STEPS)))
-    return Pulse(host_id, counter, revision & _REVISION_MASK, hundredths, flags)
+    return Heartbeat(host_id, counter, revision & _REVISION_MASK, hundredths, flags)
 
 
 def make_host_id(name: HostName, incarnation: int) -> HostId:
@@ -65,31 +68,33 @@
     return xxhash.xxh32_intdigest(f"{name}\0{incarnation}".encode())
 
 
-def pack_pulses(pulses: Iterable[Pulse]) -> bytes:
-    """Return the pulses, packed one after another."""
-    return b"".join(_PACKED.pack(*pulse) for pulse in pulses)
+def pack_heartbeats(heartbeats: Iterable[Heartbeat]) -> bytes:
+    """Return the heartbeats as packed bytes."""
+    return b"".join(_PACKED.pack(*heartbeat) for heartbeat in heartbeats)
 
 
-def unpack_pulses(data: bytes) -> list[Pulse]:
-    """Return the packed pulses.
+def unpack_heartbeats(data: bytes) -> list[Heartbeat]:
+    """Return the heartbeats in packed bytes.
 
     Raises:
-        ValueError: The length is not a whole number of pulses.
+        ValueError: The length is not a multiple of a heartbeat's size.
     """
     if len(data) % _PACKED.size:
-        raise ValueError("pulses are cut short; the sender runs another version")
+        raise ValueError(
+            "packed heartbeats are truncated; the sender runs another version"
+        )
     return [
-        Pulse(host_id, counter, revision, load, _FLAGS[flags % len(_FLAGS)])
+        Heartbeat(host_id, counter, revision, load, _FLAGS[flags % len(_FLAGS)])
         for host_id, counter, revision, load, flags in _PACKED.iter_unpack(data)
     ]
 
 
 def expand_revision(low: int, near: int) -> int:
-    """Return the whole revision whose low bits a pulse carried.
+    """Return the full revision for the low bits in a heartbeat.
 
     Args:
-        low: The low bits.
-        near: A revision less than 32,768 away from it, such as this host's own.
+        low: Low bits of the revision.
+        near: A revision that differs by less than 32,768, such as this host's own.
     """
     span = _REVISION_MASK + 1
     distance = (low - near) & _REVISION_MASK
--- a/packages/node/src/bronzepoint_node/membership/_relay.py
+++ b/packages/node/src/bronzepoint_node/membership/_region_reporter.py
@@ -1,4 +1,4 @@
-"""Reports between regions, carried by a few relay hosts of each."""
+"""Reports between regions, sent by a few reporter hosts of each region."""
 
 import time
 
@@ -27,32 +27,38 @@
 )
 from bronzepoint_schema.ids import EntryName, HostName, RegionName
 
-RELAYS = 2
-"""Hosts of a region that report to others: one may die between two reports."""
+REPORTERS_PER_REGION = 2
+"""Number of hosts of a region that report; more than one, since one may fail."""
 LISTED_HOSTS = 6
-"""Hosts that a region names to another one for forwarded requests."""
+"""Number of hosts that a region lists to another one for forwarded requests."""
 _SHARE_LIFETIMES = 3
-_TRIP_WEIGHT = 0.3
+"""Report intervals after which a host's share of the load expires."""
+_ROUND_TRIP_WEIGHT = 0.3
+"""Weight of a new sample in the moving average of the round-trip time."""
 _CALL_TIMEOUT = 1.0
-_LEAST_INTERVAL = 1.0
-_REGIONS_A_SECOND = 3
-_SHARES_A_SECOND = 8
-_SEED_TURNS = 4
-"""Every so many turns a host of the settings gets the report."""
+"""Seconds to wait for the reply to a report."""
+_MIN_INTERVAL = 1.0
+"""Minimum seconds between two reports."""
+_REGIONS_PER_SECOND = 3
+"""Maximum reports of regions per second that a host should receive."""
+_SHARES_PER_SECOND = 8
+"""Maximum load shares per second that a reporter should receive."""
+_SEED_ROUNDS = 4
+"""Rounds between two reports to hosts from the settings."""
 
 
-class Relay:
-    """Adds up its region's load and tells the other regions, while it is a relay.
+class RegionReporter:
+    """Sums up its region's load and reports it to other regions, if it is a reporter.
 
-    Who is a relay follows from the live hosts by rendezvous, so a dead one is replaced
-    without an agreement; while two hosts disagree on it, both report, which does no
-    harm: reports are ordered by their sequence numbers.
+    Reporters are selected from the live hosts by rendezvous hashing, so a dead one is
+    replaced without consensus. If hosts disagree on the selection, more of them
+    report, which is harmless because reports are ordered by sequence number.
 
     Args:
-        peers: Links to the other hosts.
+        peers: Connections to the other hosts.
         hosts: Hosts of the region.
         regions: Reports of regions.
-        clock: Time in which this process ran.
+        clock: Clock that excludes pauses of this process.
         metrics: Counts reports.
     """
 
@@ -71,50 +77,52 @@
         self._shares = LoadShares(clock)
         self._seeds: dict[RegionName, list[HostRecord]] = {}
         self._listed: dict[RegionName, tuple[int, list[HostRecord]]] = {}
-        self._trips: dict[RegionName, float] = {}
-        self._seen: dict[HostName, int] = {}
-        self._turn = 0
+        self._round_trips: dict[RegionName, float] = {}
+        self._acknowledged: dict[HostName, int] = {}
+        self._round = 0
 
     def add_seed(self, record: HostRecord) -> None:
-        """Add a host of another region that the settings name."""
+        """Add a host of another region from the settings."""
         self._seeds.setdefault(record.region, []).append(record)
 
     @property
     def interval(self) -> float:
         """Seconds between two reports."""
-        return report_interval(len(self.other_regions()) + 1, len(self._usable()))
+        return report_interval(len(self.other_regions()) + 1, len(self._live_hosts()))
 
     def other_regions(self) -> list[RegionName]:
-        """Return the regions that are known, without this one."""
+        """Return the known regions without this host's own."""
         known = {*self._seeds, *self._regions.regions()}
         return sorted(known - {self._hosts.own.region})
 
     def seeds(self, region: RegionName) -> list[HostRecord]:
-        """Return the hosts of another region that the settings name."""
+        """Return the hosts of another region from the settings."""
         return self._seeds.get(region, [])
 
-    def relays(self) -> list[HostName]:
-        """Return the relays of this region, as this host sees it."""
+    def reporters(self) -> list[HostName]:
+        """Return the reporters of this region according to this host's view."""
         own = self._hosts.own
-        return rendezvous_order(f"relay {own.region}", self._usable())[:RELAYS]
+        return rendezvous_order(f"relay {own.region}", self._live_hosts())[
+            :REPORTERS_PER_REGION
+        ]
 
     def put_share(self, host: HostName, share: LoadShare) -> None:
-        """Keep the load that a host of the region reported."""
+        """Store the load that a host of the region reported."""
         self._shares.put(host, share.entries)
 
     async def round(self, load: LoadSummary) -> None:
-        """Tell the relays this host's load; as a relay, tell the other regions."""
-        self._turn += 1
-        relays = self.relays()
+        """Send this host's load to the reporters; as a reporter, send the report."""
+        self._round += 1
+        reporters = self.reporters()
         share = LoadShare(load.entries)
-        for name in relays:
+        for name in reporters:
             if name == self._hosts.own.name:
                 self.put_share(name, share)
             else:
                 self._peers.post(name, Area.MEMBERSHIP, share)
-        if self._hosts.own.name not in relays:
+        if self._hosts.own.name not in reporters:
             return
-        rank = relays.index(self._hosts.own.name)
+        rank = reporters.index(self._hosts.own.name)
         report = self._make_own_report()
         self._regions.merge(report)
         async with curio.TaskGroup() as group:
@@ -122,7 +130,7 @@
                 await group.spawn(self._report_to, region, report, rank)
 
     def merge(self, report: RegionReport) -> ReportSeen:
-        """Take over another region's report and say what is known of that region."""
+        """Merge another region's report; return the newest sequence number known."""
         self._regions.merge(report)
         newest = self._regions.sequences().get(report.region, INCOMPLETE)
         return ReportSeen(newest)
@@ -130,13 +138,13 @@
     def _make_own_report(self) -> RegionReport:
         own = self._hosts.own
         known = self._regions.newest_sequence(own.region)
-        # The first number is the time, so that a region whose hosts all restarted at
-        # once does not begin again below what the others have seen.
+        # The first number is the time, so that after a restart of all hosts the
+        # numbers are not below those that other regions have received.
         sequence = known + 1 if known else int(time.time())
         return RegionReport(
             region=own.region,
             sequence=sequence,
-            live=len(self._usable()),
+            live=len(self._live_hosts()),
             hosts_sequence=NO_HOSTS,
             entries=self._sum_load(),
             interval=self.interval,
@@ -148,18 +156,18 @@
     async def _report_to(
         self, region: RegionName, own_report: RegionReport, rank: int
     ) -> None:
-        contacts = self._contacts_of_turn(region)
+        contacts = self._contacts_for_round(region)
         if not contacts:
             return
-        contact = contacts[(self._turn + rank) % len(contacts)].name
+        contact = contacts[(self._round + rank) % len(contacts)].name
         hosts_sequence, hosts = self._list_hosts(region, own_report.sequence)
         report = msgspec.structs.replace(
             own_report,
             hosts_sequence=hosts_sequence,
             hosts=hosts,
-            trip=self._trips.get(region, 0.0),
+            trip=self._round_trips.get(region, 0.0),
         )
-        report = trim_hosts(report, self._seen.get(contact, INCOMPLETE))
+        report = trim_hosts(report, self._acknowledged.get(contact, INCOMPLETE))
         self._metrics.incr("membership.reports")
         started = time.monotonic()
         try:
@@ -168,68 +176,68 @@
             )
         except PeerError as exc:
             self._metrics.incr(f"membership.report_failed.{type(exc).__name__}")
-            self._seen.pop(contact, None)
+            self._acknowledged.pop(contact, None)
             return
-        self._note_trip(region, time.monotonic() - started)
+        self._record_round_trip(region, time.monotonic() - started)
         if isinstance(seen, ReportSeen):
-            self._seen[contact] = seen.sequence
-            self._catch_up(seen.sequence)
+            self._acknowledged[contact] = seen.sequence
+            self._advance_sequence(seen.sequence)
 
-    def _catch_up(self, sequence: int) -> None:
-        """Go on above a sequence number that others have seen of this region.
+    def _advance_sequence(self, sequence: int) -> None:
+        """Continue above a sequence number that others have received of this region.
 
-        The clock may have been set back before the whole region restarted: the others
-        would ignore its reports until the numbers had caught up.
+        If the clock was set back before the whole region restarted, other regions
+        would ignore its reports until the numbers exceed those of before.
         """
         own = self._regions.newest_sequence(self._hosts.own.region)
         if sequence > own:
             report = self._make_own_report()
             report.sequence = sequence + 1
             self._regions.merge(report)
-            # Lists that were numbered below it would count as known over there.
+            # Other regions would treat lists with lower numbers as already received.
             self._listed.clear()
 
     def _list_hosts(
         self, region: RegionName, sequence: int
     ) -> tuple[int, list[HostRecord]]:
-        """Return the hosts for a region's requests, and when that list changed last.
+        """Return the hosts for a region's requests, and the list's sequence number.
 
-        Each other region gets its own short list, so that forwarded requests spread
-        over all hosts and no report grows with their number.
+        Each other region gets a different short list, so that forwarded requests are
+        spread over all hosts and the size of a report does not grow with their number.
         """
         key = f"forward {self._hosts.own.region} {region}"
-        names = rendezvous_order(key, self._usable())[:LISTED_HOSTS]
+        names = rendezvous_order(key, self._live_hosts())[:LISTED_HOSTS]
         hosts = self._hosts.records(names)
         former = self._listed.get(region)
         if former is None or former[1] != hosts:
             self._listed[region] = (sequence, hosts)
         return self._listed[region]
 
-    def _contacts_of_turn(self, region: RegionName) -> list[HostRecord]:
-        """Return the hosts to choose the receiver of this turn's report from.
+    def _contacts_for_round(self, region: RegionName) -> list[HostRecord]:
+        """Return the candidate receivers of this round's report.
 
-        The hosts that a region named may all have been replaced during a long cut, on
-        both sides; then neither side's reports would ever arrive. The settings are
-        what an operator can mend, so they are tried now and then.
+        During a long partition both regions may have replaced all hosts that they
+        listed; then no report would ever arrive. The settings can be corrected by an
+        operator, so their hosts are used every `_SEED_ROUNDS` rounds.
         """
         named = self._regions.hosts(region)
         seeds = self._seeds.get(region, [])
-        if seeds and (not named or self._turn % _SEED_TURNS == 0):
+        if seeds and (not named or self._round % _SEED_ROUNDS == 0):
             return seeds
         return named
 
-    def _note_trip(self, region: RegionName, seconds: float) -> None:
-        former = self._trips.get(region, seconds)
-        self._trips[region] = former + _TRIP_WEIGHT * (seconds - former)
+    def _record_round_trip(self, region: RegionName, seconds: float) -> None:
+        former = self._round_trips.get(region, seconds)
+        self._round_trips[region] = former + _ROUND_TRIP_WEIGHT * (seconds - former)
 
-    def _usable(self) -> list[HostName]:
+    def _live_hosts(self) -> list[HostName]:
         return [i.name for i in self._hosts.infos() if i.state is HostState.live]
 
 
 def report_interval(regions: int, hosts: int) -> float:
     """Return the seconds between two reports of a region.
 
-    What a host hears grows with the number of regions, and what a relay adds up with
-    the hosts of its own, so both make the reports rarer.
+    A host receives reports of all regions, and a reporter receives load shares of all
+    hosts of its region. So the interval grows with both numbers.
     """
-    return max(_LEAST_INTERVAL, regions / _REGIONS_A_SECOND, hosts / _SHARES_A_SECOND)
+    return max(_MIN_INTERVAL, regions / _REGIONS_PER_SECOND, hosts / _SHARES_PER_SECOND)
--- a/packages/node/src/bronzepoint_node/membership/_region_table.py
+++ b/packages/node/src/bronzepoint_node/membership/_region_table.py
@@ -1,4 +1,4 @@
-"""What this host knows of whole regions."""
+"""Newest report of each region."""
 
 import msgspec
 
@@ -7,35 +7,36 @@
 from bronzepoint_schema.generated.membership import HostRecord, RegionReport
 from bronzepoint_schema.ids import RegionName
 
-_MISSED_REPORTS = 2
+_MAX_MISSED_REPORTS = 2
+"""Reports that may be missed before a region's timeout starts."""
 INCOMPLETE = 0
-"""Told in place of a sequence number where the list of hosts is missing."""
+"""Sent instead of a sequence number if the list of hosts is missing."""
 NO_HOSTS = 0
-"""Sequence number of the list in a region's report to itself, which has none."""
+"""Sequence number of the list in a region's report to itself, which has no list."""
 
 
 class _Stored(msgspec.Struct):
     report: RegionReport
-    heard_at: float
+    received_at: float
     complete: bool
 
 
 class RegionTable:
-    """The newest report of each region, and how old it is.
+    """Stores the newest report of each region and its age.
 
     Args:
-        clock: Time in which this process ran.
-        silent_after: Seconds without a report, beyond those that may be missed, after
-            which a region counts as unreachable.
+        clock: Clock that excludes pauses of this process.
+        unreachable_after: Seconds without a report, in addition to the reports that
+            may be missed, after which a region counts as unreachable.
     """
 
-    def __init__(self, clock: RunningClock, silent_after: float) -> None:
+    def __init__(self, clock: RunningClock, unreachable_after: float) -> None:
         self._clock = clock
-        self._silent_after = silent_after
+        self._unreachable_after = unreachable_after
         self._stored: dict[RegionName, _Stored] = {}
 
     def merge(self, report: RegionReport) -> bool:
-        """Take over a report that is newer, or that has the list that was missing."""
+        """Merge a report that is newer or has the missing list; return if newer."""
         stored = self._stored.get(report.region)
         if stored is None:
             self._store(report, complete=_has_hosts(report))
@@ -52,24 +53,24 @@
             self._store(report, complete=True)
             return True
         complete = stored.complete and report.hosts_sequence <= known.sequence
-        kept = msgspec.structs.replace(report, hosts=known.hosts)
-        self._store(kept, complete)
+        updated = msgspec.structs.replace(report, hosts=known.hosts)
+        self._store(updated, complete)
         return True
 
     def sequences(self) -> dict[str, int]:
-        """Return the newest sequence number of each region, for other hosts."""
+        """Return the newest sequence number of each region, to send to other hosts."""
         return {
             name: stored.report.sequence if stored.complete else INCOMPLETE
             for name, stored in self._stored.items()
         }
 
     def newest_sequence(self, region: RegionName) -> int:
-        """Return the newest sequence number seen of a region, 0 before the first."""
+        """Return the newest known sequence number of a region; 0 before the first."""
         stored = self._stored.get(region)
         return INCOMPLETE if stored is None else stored.report.sequence
 
     def newer_reports(self, theirs: dict[str, int]) -> list[RegionReport]:
-        """Return the reports that another host lacks, lists only where they changed."""
+        """Return the reports that another host lacks, with lists only if changed."""
         reports = []
         for name, stored in self._stored.items():
             known = theirs.get(name, INCOMPLETE)
@@ -78,20 +79,20 @@
         return reports
 
     def hosts(self, region: RegionName) -> list[HostRecord]:
-        """Return the hosts that a region named for forwarded requests."""
+        """Return the hosts that a region listed for forwarded requests."""
         stored = self._stored.get(region)
         return [] if stored is None else stored.report.hosts
 
     def summary(self, region: RegionName) -> RegionSummary:
-        """Return what is known of a region."""
+        """Return the summary of a region."""
         stored = self._stored.get(region)
         if stored is None:
             return RegionSummary(region, reachable=False, live=0)
-        age = self._clock.now() - stored.heard_at
-        missed = _MISSED_REPORTS * stored.report.interval
+        age = self._clock.now() - stored.received_at
+        missed = _MAX_MISSED_REPORTS * stored.report.interval
         return RegionSummary(
             name=region,
-            reachable=age < self._silent_after + missed,
+            reachable=age < self._unreachable_after + missed,
             live=stored.report.live,
             age=age,
             trip=stored.report.trip,
@@ -111,7 +112,7 @@
 
 
 def trim_hosts(report: RegionReport, known: int) -> RegionReport:
-    """Return a report without its list where the receiver has that list already."""
+    """Return a report without its list if the receiver already has that list."""
     if known >= report.hosts_sequence:
         return msgspec.structs.replace(report, hosts=[])
     return report
--- a/packages/node/src/bronzepoint_node/membership/_running_clock.py
+++ b/packages/node/src/bronzepoint_node/membership/_running_clock.py
@@ -1,42 +1,43 @@
-"""A clock that stands still while this process does."""
+"""Clock that excludes the time for which this process was stopped."""
 
 import time
 from collections.abc import Callable
 
 
 class RunningClock:
-    """Monotonic seconds, less the time in which this process did not run.
+    """Monotonic seconds without the time for which this process did not run.
 
-    A process that is stopped for a minute and then woken finds that it has heard from
-    nobody for a minute, and would take every other host for dead and serve alone. The
-    gap shows as a step between two looks at the clock that is far longer than the
-    time between two rounds, so such steps are left out of what this clock counts.
+    A process that resumes after a minute has received no heartbeat for a minute, and
+    would consider every other host dead and serve alone. The pause shows as a step
+    between two readings that is much longer than the time between two rounds, so such
+    steps are excluded.
 
     Args:
-        longest_step: Seconds between two looks beyond which the process was stopped.
-        monotonic: The underlying clock.
+        max_step: Seconds between two readings above which the process was stopped.
+        monotonic: Underlying monotonic clock (s).
     """
 
     def __init__(
         self,
-        longest_step: float,
+        max_step: float,
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._longest_step = longest_step
+        self._max_step = max_step
         self._monotonic = monotonic
-        self._last_look = monotonic()
-        self._left_out = 0.0
+        self._last_reading = monotonic()
+        self._excluded = 0.0
         self.gaps = 0
 
     def now(self) -> float:
         """Return the seconds for which this process has run.
 
-        It must be looked at in each round, or a quiet time counts as a stop.
+        It must be called in each round, otherwise the time between two calls is
+        treated as a stop.
         """
-        look = self._monotonic()
-        step = look - self._last_look
-        self._last_look = look
-        if step > self._longest_step:
-            self._left_out += step
+        reading = self._monotonic()
+        step = reading - self._last_reading
+        self._last_reading = reading
+        if step > self._max_step:
+            self._excluded += step
             self.gaps += 1
-        return look - self._left_out
+        return reading - self._excluded
--- a/packages/node/src/bronzepoint_node/membership/_seeds.py
+++ b/packages/node/src/bronzepoint_node/membership/_seeds.py
@@ -1,4 +1,4 @@
-"""Records of hosts that the settings name, this one among them."""
+"""Records of the hosts in the settings, this host included."""
 
 import time
 
@@ -16,8 +16,8 @@
         name=host.name,
         region=host.region,
         data_center=host.data_center,
-        # The address in its own [peer] section is how others reach it; it may listen
-        # on another one behind it.
+        # Other hosts reach it at the address in its own [peer] section, which may
+        # differ from the address that it listens on.
         http=settings.listen.http if listed is None else listed.http,
         peer=settings.listen.peer if listed is None else listed.peer,
         incarnation=int(time.time() * 1000),
@@ -25,7 +25,7 @@
 
 
 def make_seed_records(settings: Settings) -> list[HostRecord]:
-    """Return a record for each other host of the settings."""
+    """Return a record for each other host in the settings."""
     return [
         HostRecord(
             name=HostName(name),
--- a/packages/node/src/bronzepoint_node/membership/_state_report.py
+++ b/packages/node/src/bronzepoint_node/membership/_state_report.py
@@ -1,4 +1,4 @@
-"""Logs and counts of the states of a region's hosts."""
+"""Log lines and gauges for the states of a region's hosts."""
 
 from collections.abc import Iterable
 
@@ -11,10 +11,10 @@
 
 
 class StateReport:
-    """Writes a log line for each change of a host's state, and sets gauges.
+    """Logs each change of a host's state and sets gauges.
 
     Args:
-        metrics: Takes one gauge for each state.
+        metrics: Receives one gauge per state.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -22,7 +22,7 @@
         self._states: dict[HostName, HostState] = {}
 
     def update(self, infos: Iterable[HostInfo]) -> None:
-        """Compare the hosts of the region with those of the last call."""
+        """Compare the states of the region's hosts with those of the last call."""
         counts = dict.fromkeys(HostState, 0)
         states = {}
         for info in infos:
--- a/packages/node/src/bronzepoint_node/membership/_views.py
+++ b/packages/node/src/bronzepoint_node/membership/_views.py
@@ -1,4 +1,4 @@
-"""What membership tells the rest of the process."""
+"""Data that membership provides to the other components of the process."""
 
 import math
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class HostState(StrEnum):
-    """State of a host, as this host sees it."""
+    """State of a host according to this host's failure detector."""
 
     live = "live"
     suspect = "suspect"
@@ -27,9 +27,9 @@
     """One host of the system.
 
     Attributes:
-        load: requests in progress as a share of what the host can take.
-        revision: the host's catalogue revision.
-        silent_for: seconds since news of the host came last.
+        load: Requests in progress as a fraction of the host's capacity.
+        revision: Catalogue revision of the host.
+        silent_for: Seconds since the host's heartbeat last advanced.
     """
 
     name: HostName
@@ -45,13 +45,13 @@
 
 
 class RegionSummary(Struct):
-    """One region, as this host knows it.
+    """One region, as known to this host.
 
     Attributes:
-        reachable: False where no report has come for a while.
-        live: live hosts.
-        age: seconds since the newest report came; 0 for this host's own region.
-        trip: seconds of a round trip between the regions; 0 where not measured.
+        reachable: Whether the newest report is recent enough.
+        live: Number of live hosts.
+        age: Seconds since the newest report arrived; 0 for this host's own region.
+        trip: Round-trip time (s) between the regions; 0 if not measured.
     """
 
     name: RegionName
@@ -63,22 +63,22 @@
 
     @property
     def free_slots(self) -> int:
-        """Slots without a request, over all entries."""
+        """Number of slots without a request, over all entries."""
         return sum(max(0, e.slots - e.in_progress) for e in self.entries.values())
 
     @property
     def queue(self) -> int:
-        """Requests beyond the slots, over all entries."""
+        """Number of requests in excess of the slots, over all entries."""
         return sum(max(0, e.in_progress - e.slots) for e in self.entries.values())
 
 
 class LoadSummary(Struct):
-    """What this host says about itself.
+    """Load that this host publishes.
 
     Attributes:
-        load: requests in progress as a share of what the host can take.
-        revision: the host's catalogue revision.
-        entries: its part of the load of each entry in use.
+        load: Requests in progress as a fraction of the host's capacity.
+        revision: Catalogue revision of the host.
+        entries: Share of this host in the load of each entry in use.
     """
 
     load: float = 0.0
--- a/tests/_membership_net.py
+++ b/tests/_membership_net.py
@@ -1,4 +1,4 @@
-"""A network in memory for membership: calls and posts between hosts, with cuts."""
+"""In-memory network for membership tests: calls and posts, with blocked links."""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,24 +19,26 @@
 )
 
 DEADLINE = 30.0
+"""Maximum seconds to wait for a condition."""
 PUMP_INTERVAL = 0.01
+"""Seconds between two deliveries of posts and between two checks of a condition."""
 FAST = MembershipSection(interval=0.05, suspect_after=0.4, dead_after=0.8)
 
 
 class Network:
-    """Delivers messages at once, unless the link is cut or the host is stopped."""
+    """Delivers messages without delay, unless the link is blocked."""
 
     def __init__(self) -> None:
         self.links: dict[str, FakePeers] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self.posts: list[tuple[FakePeers, str, Any]] = []
 
-    def cut_apart(self, first: list[str], second: list[str]) -> None:
-        self.cut |= {(a, b) for a in first for b in second}
-        self.cut |= {(b, a) for a in first for b in second}
+    def partition(self, first: list[str], second: list[str]) -> None:
+        self.blocked_links |= {(a, b) for a in first for b in second}
+        self.blocked_links |= {(b, a) for a in first for b in second}
 
-    def open(self, sender: str, receiver: str) -> bool:
-        return receiver in self.links and (sender, receiver) not in self.cut
+    def is_open(self, sender: str, receiver: str) -> bool:
+        return receiver in self.links and (sender, receiver) not in self.blocked_links
 
     async def deliver_posts(self) -> None:
         while True:
@@ -47,7 +49,7 @@
 
 
 class FakePeers:
-    """The part of Peers that membership uses."""
+    """Fake of the part of Peers that membership uses."""
 
     def __init__(self, network: Network, name: str) -> None:
         self.network = network
@@ -68,7 +70,7 @@
             self.fixed.add(peer)
 
     def post(self, peer: str, area: Any, message: Any) -> bool:
-        if not self.network.open(self.name, peer):
+        if not self.network.is_open(self.name, peer):
             return False
         other = self.network.links[peer]
         copy = other.decoder.decode(msgspec.msgpack.encode(message))
@@ -76,13 +78,13 @@
         return True
 
     async def call(self, peer: str, area: Any, message: Any, timeout: float) -> Any:
-        if not self.network.open(self.name, peer):
+        if not self.network.is_open(self.name, peer):
             await curio.sleep(timeout)
             raise PeerTimeout(peer, timeout)
         other = self.network.links[peer]
         copy = other.decoder.decode(msgspec.msgpack.encode(message))
         reply = await other.handler(self.name, copy)
-        if not self.network.open(peer, self.name):
+        if not self.network.is_open(peer, self.name):
             await curio.sleep(timeout)
             raise PeerTimeout(peer, timeout)
         return self.decoder.decode(msgspec.msgpack.encode(reply))
@@ -91,7 +93,7 @@
 def make_settings(
     name: str, hosts: list[str], section: MembershipSection = FAST
 ) -> Settings:
-    """Settings of one of some hosts, named ``region-number``."""
+    """Return the settings of one host; host names have the form ``region-number``."""
     region = name.split("-")[0]
     peers = {
         host: PeerSection(host.split("-")[0], "dc", f"{host}:80", f"{host}:90")
@@ -107,7 +109,7 @@
 
 
 class Group:
-    """Membership of some hosts over one network."""
+    """Membership instances of several hosts on one network."""
 
     def __init__(self, hosts: list[str], seeds: list[str] | None = None) -> None:
         self.network = Network()
@@ -129,18 +131,18 @@
         await self.pump.cancel()
 
     def stop(self, name: str) -> None:
-        """Cut a host off as SIGSTOP would: it neither answers nor speaks."""
-        self.network.cut_apart([name], [n for n in self.members if n != name])
+        """Block all links of a host, which then looks stopped by SIGSTOP."""
+        self.network.partition([name], [n for n in self.members if n != name])
 
     def states(self, name: str) -> dict[str, str]:
-        """How each other member sees one host."""
+        """Return the state of one host according to each other member."""
         others = {n: m for n, m in self.members.items() if n != name}
         infos = {n: member.host(name) for n, member in others.items()}
         return {n: "unknown" if i is None else i.state for n, i in infos.items()}
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for an observed state."""
+    """Wait until a condition holds."""
     async with curio.timeout_after(DEADLINE):
         while not condition():
             await curio.sleep(PUMP_INTERVAL)
--- a/tests/test_membership_gossip.py
+++ b/tests/test_membership_gossip.py
@@ -1,4 +1,4 @@
-"""Membership of several hosts: learning, losing, coming back, leaving, regions."""
+"""Membership of several hosts: discovery, failure, recovery, draining, regions."""
 
 import time
 import unittest
@@ -34,12 +34,12 @@
 
         run_group(Group(REGION, seeds=["bkk-0"]), scenario)
 
-    def test_stopped_host_is_noticed_and_live_again_after_it_woke(self) -> None:
-        """A host that stops without closing its connections.
+    def test_stopped_host_is_dead_and_live_again_after_it_resumes(self) -> None:
+        """A host that stops without closing its connections must be detected.
 
-        Symptom: callers go on being sent to a host that answers nothing. Sequence:
-        SIGSTOP, or a cut that drops packets in silence; no connection is reset. Cause:
-        nothing tells the others but the heartbeat that stands still.
+        After SIGSTOP, or a partition that drops packets, no connection is reset. Only
+        the missing heartbeats show it; without them callers would still be directed
+        to the host.
         """
 
         async def scenario(group: Group) -> None:
@@ -49,17 +49,17 @@
             await until(lambda: set(group.states("bkk-1").values()) == dead)
             self.assertEqual(group.members["bkk-0"].host("bkk-2").state, "live")
             self.assertEqual(len(group.members["bkk-0"].region_hosts()), 3)
-            group.network.cut.clear()
+            group.network.blocked_links.clear()
             await until(lambda: all_live(group, REGION))
 
         run_group(Group(REGION), scenario)
 
-    def test_restarted_host_supersedes_itself(self) -> None:
-        """A host that is killed and started again at once.
+    def test_restarted_host_replaces_its_earlier_incarnation(self) -> None:
+        """A host that is killed and restarted immediately must be seen as live.
 
-        Symptom: the others call it dead for as long as its earlier incarnation ran.
-        Sequence: its counter begins again at 1, below the one they remember. Cause:
-        without an incarnation the new heartbeats look like old ones come late.
+        Its counter restarts at 1, below the value that the others know. Without the
+        incarnation, its heartbeats would look outdated and the host would count as
+        dead for as long as its earlier incarnation ran.
         """
 
         async def scenario(group: Group) -> None:
@@ -77,25 +77,27 @@
 
         run_group(Group(REGION), scenario)
 
-    def test_draining_host_is_known_everywhere_before_the_wait_ends(self) -> None:
+    def test_drain_wait_ends_when_all_hosts_know(self) -> None:
         async def scenario(group: Group) -> None:
             await until(lambda: all_live(group, REGION))
-            forgotten: list[bool] = []
+            acknowledged: list[bool] = []
             member = group.members["bkk-0"]
-            member.on_forgotten(lambda: forgotten.append(True))
-            self.assertTrue(await member.wait_forgotten(30.0))
-            self.assertEqual(forgotten, [True])
+            member.on_drain_acknowledged(lambda: acknowledged.append(True))
+            self.assertTrue(await member.wait_drain_acknowledged(30.0))
+            self.assertEqual(acknowledged, [True])
             self.assertEqual(set(group.states("bkk-0").values()), {HostState.draining})
 
         run_group(Group(REGION), scenario)
 
-    def test_host_that_drains_by_order_learns_when_it_is_forgotten(self) -> None:
+    def test_callback_runs_when_all_hosts_know_of_the_drain(self) -> None:
         async def scenario(group: Group) -> None:
             await until(lambda: all_live(group, REGION))
-            forgotten: list[bool] = []
-            group.members["bkk-0"].on_forgotten(lambda: forgotten.append(True))
+            acknowledged: list[bool] = []
+            group.members["bkk-0"].on_drain_acknowledged(
+                lambda: acknowledged.append(True)
+            )
             group.members["bkk-0"].set_draining()
-            await until(lambda: bool(forgotten))
+            await until(lambda: bool(acknowledged))
             self.assertEqual(set(group.states("bkk-0").values()), {HostState.draining})
 
         run_group(Group(REGION), scenario)
@@ -104,7 +106,7 @@
         async def scenario(group: Group) -> None:
             await until(lambda: all_live(group, REGION))
             group.stop("bkk-2")
-            self.assertFalse(await group.members["bkk-0"].wait_forgotten(0.1))
+            self.assertFalse(await group.members["bkk-0"].wait_drain_acknowledged(0.1))
 
         run_group(Group(REGION), scenario)
 
@@ -118,12 +120,12 @@
 
     def test_notice_of_a_target_reaches_all_hosts(self) -> None:
         async def scenario(group: Group) -> None:
-            heard: list[str] = []
+            receivers: list[str] = []
             for name, member in group.members.items():
-                member.on_notice(lambda _, name=name: insort(heard, name))
+                member.on_notice(lambda _, name=name: insort(receivers, name))
             notice = TargetNotice("engine-1", leaving=True, as_of=time.time())
             group.members["bkk-0"].tell_notice(notice)
-            await until(lambda: heard == ["bkk-0", "bkk-1", "bkk-2"])
+            await until(lambda: receivers == ["bkk-0", "bkk-1", "bkk-2"])
 
         run_group(Group(REGION), scenario)
 
@@ -148,12 +150,12 @@
 
         run_group(Group(TWO_REGIONS), scenario)
 
-    def test_region_cut_off_counts_as_unreachable_until_the_cut_heals(self) -> None:
-        """Two regions that lose each other.
+    def test_partitioned_region_is_unreachable_until_the_partition_heals(self) -> None:
+        """Two partitioned regions must consider each other unreachable.
 
-        Symptom: requests are sent to a region that nothing reaches. Sequence: the
-        links between the regions drop all packets, those within work. Cause: the last
-        report stays in memory; only its age says that it means nothing any more.
+        The links between the regions drop all packets. The last report stays in
+        memory, and only its age shows that it is outdated; otherwise requests would
+        be forwarded to an unreachable region.
         """
 
         async def scenario(group: Group) -> None:
@@ -162,44 +164,47 @@
                 return all(summary.reachable is value for summary in here)
 
             await until(lambda: reachable(True))
-            group.network.cut_apart(REGION, TWO_REGIONS[3:])
+            group.network.partition(REGION, TWO_REGIONS[3:])
             await until(lambda: reachable(False))
             member = group.members["bkk-0"]
             self.assertEqual(member.live("sgp"), [])
             self.assertEqual(len(member.live("bkk")), 3)
-            group.network.cut.clear()
+            group.network.blocked_links.clear()
             await until(lambda: reachable(True))
 
         run_group(Group(TWO_REGIONS), scenario)
 
-    def test_regions_meet_again_though_all_listed_hosts_were_replaced(self) -> None:
-        """A long cut, during which both regions replaced the hosts they had named.
+    def test_regions_reconnect_after_all_listed_hosts_were_replaced(self) -> None:
+        """Regions reconnect after a partition in which both replaced their hosts.
 
-        Symptom: the regions never hear of each other again. Sequence: each holds a
-        list of the other's hosts that are gone; reports are sent to those only. Cause:
-        the list wins over the settings, and only a report could bring a newer list.
+        Each region holds a list of hosts of the other that no longer exist. If reports
+        were sent only to these, no newer list could arrive and the regions would never
+        reconnect.
         """
 
         async def scenario(group: Group) -> None:
             here, there = group.members["bkk-0"], group.members["sgp-0"]
-            gone = {"bkk": make_gone("bkk"), "sgp": make_gone("sgp")}
+            replaced = {
+                "bkk": make_replaced_hosts("bkk"),
+                "sgp": make_replaced_hosts("sgp"),
+            }
             for member, region in ((here, "sgp"), (there, "bkk")):
-                report = RegionReport(region, 2**40, 1, 2**40, gone[region])
+                report = RegionReport(region, 2**40, 1, 2**40, replaced[region])
                 member._regions.merge(report)
 
-            def met() -> bool:
+            def reconnected() -> bool:
                 lists = [here._regions.hosts("sgp"), there._regions.hosts("bkk")]
                 return [record.name for each in lists for record in each] == [
                     "sgp-0",
                     "bkk-0",
                 ]
 
-            await until(met)
+            await until(reconnected)
 
         run_group(Group(["bkk-0", "sgp-0"]), scenario)
 
 
-def make_gone(region: str) -> list[HostRecord]:
-    """Return the list of a region whose only listed host exists no more."""
+def make_replaced_hosts(region: str) -> list[HostRecord]:
+    """Return the list of a region whose only listed host no longer exists."""
     name = f"{region}-gone"
     return [HostRecord(name, region, "dc", f"{name}:80", f"{name}:90", 1)]
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Hosts that leave, freeze or are cut off, with real daemons."""
+"""Hosts that shut down, freeze or are partitioned, with real daemons."""
 
 import threading
 import unittest
@@ -13,7 +13,7 @@
 
 HOSTS = ["bkk-1", "bkk-2", "bkk-3"]
 TOKENS = 400
-"""Tokens of a streamed answer: it lasts for several seconds."""
+"""Tokens of a streamed answer, which takes several seconds."""
 DONE = "[DONE]"
 
 
@@ -25,8 +25,8 @@
         self.addCleanup(self.deployment.close)
         self.deployment.start()
 
-    def named(self, host: str, home: str = "bkk") -> list[str]:
-        """Hosts that a host's directory names to a caller."""
+    def listed(self, host: str, home: str = "bkk") -> list[str]:
+        """Return the hosts that a host's directory lists for a caller."""
         client = self.deployment.client(host, region=home)
         return [row["name"] for row in client.get("/v1/hosts").json()["hosts"]]
 
@@ -34,15 +34,15 @@
         rows = self.deployment.operator(seen_by).hosts()["hosts"]
         return next(row["state"] for row in rows if row["name"] == host)
 
-    def wait_named(self, host: str, seen_by: list[str], named: bool) -> None:
+    def wait_listed(self, host: str, seen_by: list[str], listed: bool) -> None:
         wait_until(
-            lambda: all((host in self.named(other)) is named for other in seen_by),
-            f"{host} named by {seen_by}: {named}",
+            lambda: all((host in self.listed(other)) is listed for other in seen_by),
+            f"{host} listed by {seen_by}: {listed}",
         )
 
 
 class Streams:
-    """Streamed answers in progress, read in threads of their own."""
+    """Streamed answers in progress, each read in its own thread."""
 
     def __init__(self, client: Client, count: int) -> None:
         self.events: list[list[str]] = [[] for _ in range(count)]
@@ -75,31 +75,32 @@
 
 
 class TestShutdown(HostCase):
-    def test_sigterm_cuts_no_stream_and_the_directory_forgets_first(self) -> None:
-        """A host is restarted while callers read long answers.
-
-        Symptom: answers end in the middle, and callers that just asked the directory
-        are sent to a host that refuses their connection. Sequence: SIGTERM comes while
-        streams are in progress; the host stops accepting; the others still name it.
-        Cause: closing before the others know, or before the answers have ended.
+    def test_sigterm_truncates_no_stream_and_the_directory_is_updated_first(
+        self,
+    ) -> None:
+        """A host gets SIGTERM while callers read streamed answers.
+
+        If it stopped accepting while other hosts still list it, callers that just
+        queried the directory would get a refused connection. If it closed before the
+        streams have ended, answers would be truncated.
         """
         streams = Streams(self.deployment.client("bkk-1"), 3)
         self.deployment.terminate("bkk-1")
-        gone_while_named = []
+        listing_hosts = []
 
-        def refused_while_named() -> bool:
-            """Whether new connections are refused: nobody may name it then."""
+        def refused_while_listed() -> bool:
+            """Return whether new connections are refused; record who still lists it."""
             try:
                 self.deployment.client("bkk-1").get("/v1/health")
             except OSError:
-                gone_while_named.extend(
-                    other for other in HOSTS[1:] if "bkk-1" in self.named(other)
+                listing_hosts.extend(
+                    other for other in HOSTS[1:] if "bkk-1" in self.listed(other)
                 )
                 return True
             return False
 
-        wait_until(refused_while_named, "bkk-1 takes no new connections")
-        self.assertEqual(gone_while_named, [])
+        wait_until(refused_while_listed, "bkk-1 takes no new connections")
+        self.assertEqual(listing_hosts, [])
         self.assertTrue(streams.running)
         streams.join()
         self.assertEqual(streams.errors, [])
@@ -108,12 +109,12 @@
             self.assertEqual(len(events), TOKENS + 1)
         self.assertEqual(self.deployment.process("bkk-1").wait(30.0), 0)
 
-    def test_drained_host_refuses_new_callers_once_nobody_names_it(self) -> None:
-        """An operator takes a host away for good while it still answers.
+    def test_drained_host_refuses_new_callers_once_no_host_lists_it(self) -> None:
+        """An operator drains a host that still has streams in progress.
 
-        Symptom: new callers keep coming, so it never becomes idle; or they are
-        refused while the directories still send them. Cause: hiding it without
-        refusing, or refusing before it is hidden.
+        If it were only removed from the directories, callers that know it would keep
+        it busy. If it refused callers earlier, directories would still direct callers
+        to a host that refuses them.
         """
         streams = Streams(self.deployment.client("bkk-1"), 1)
         self.deployment.operator("bkk-1").drain("bkk-1")
@@ -130,8 +131,8 @@
         self.assertEqual(refusals[0]["kind"], "draining")
         self.assertEqual(refusals[0]["ran"], "no")
         for host in HOSTS:
-            self.assertNotIn("bkk-1", self.named(host))
-        self.assertEqual(set(self.named("bkk-1")[:2]), {"bkk-2", "bkk-3"})
+            self.assertNotIn("bkk-1", self.listed(host))
+        self.assertEqual(set(self.listed("bkk-1")[:2]), {"bkk-2", "bkk-3"})
         streams.join()
         self.assertEqual([events[-1] for events in streams.events], [DONE])
 
@@ -143,74 +144,73 @@
     def wait_dead(self) -> None:
         wait_until(
             lambda: all(self.state("bkk-2", other) == "dead" for other in self.others),
-            "the others take bkk-2 for dead",
+            "the others consider bkk-2 dead",
         )
         for other in self.others:
-            self.assertNotIn("bkk-2", self.named(other))
+            self.assertNotIn("bkk-2", self.listed(other))
 
-    def test_frozen_host_is_not_named_until_it_wakes(self) -> None:
-        """SIGSTOP for longer than any host may be silent.
+    def test_frozen_host_is_not_listed_until_it_resumes(self) -> None:
+        """A host stopped by SIGSTOP must not be listed for callers.
 
-        Symptom: callers are sent to a host that answers nothing. Cause: nothing
-        closes its connections, so nothing tells that it stands still.
+        Its connections stay open, so only the missing heartbeats show that it does
+        not run.
         """
         self.deployment.freeze("bkk-2")
         self.wait_dead()
         self.deployment.thaw("bkk-2")
-        self.wait_named("bkk-2", self.others, named=True)
+        self.wait_listed("bkk-2", self.others, listed=True)
 
-    def test_host_that_wakes_takes_no_one_for_dead(self) -> None:
-        """A host is stopped and woken, and nobody has spoken to it yet.
+    def test_host_that_resumes_considers_no_host_dead(self) -> None:
+        """A host that resumes after a stop must not consider all others dead.
 
-        Symptom: it names only itself, and all its callers stay with it. Sequence: it
-        is cut off so that no message waits for it, stopped for longer than any host may
-        be silent, and woken. Cause: its clock ran on while it stood still.
+        It is partitioned, so that no message waits for it, and stopped for longer
+        than the failure detection timeout. If the stopped time counted, it would list
+        only itself and keep all its callers.
         """
         self.deployment.isolate_host("bkk-2")
         self.deployment.freeze("bkk-2")
         self.wait_dead()
         self.deployment.thaw("bkk-2")
-        self.assertLessEqual(set(self.others), set(self.named("bkk-2")))
+        self.assertLessEqual(set(self.others), set(self.listed("bkk-2")))
         self.deployment.heal()
-        self.wait_named("bkk-2", self.others, named=True)
+        self.wait_listed("bkk-2", self.others, listed=True)
 
 
 class TestPartition(HostCase):
     proxied = True
 
-    def test_isolated_region_names_and_serves_its_own(self) -> None:
-        """All links between one region and the others drop everything in silence.
+    def test_isolated_region_lists_and_serves_its_own_hosts(self) -> None:
+        """A region is partitioned from the others by links that drop all packets.
 
-        Symptom: callers of a region that works are sent to hosts that they can't
-        reach. Cause: the last report of the other regions is still in memory.
+        The last reports of the other regions are still in memory; without a check of
+        their age, callers would be directed to unreachable hosts.
         """
         deployment = self.deployment
         wait_until(
-            lambda: any(name.startswith("sgp") for name in self.named("bkk-1")),
+            lambda: any(name.startswith("sgp") for name in self.listed("bkk-1")),
             "the other regions are known",
         )
         deployment.isolate_region("bkk")
         wait_until(
-            lambda: all(set(self.named(host)) == set(HOSTS) for host in HOSTS),
-            "hosts of bkk name only each other",
+            lambda: all(set(self.listed(host)) == set(HOSTS) for host in HOSTS),
+            "hosts of bkk list only each other",
         )
         for host in HOSTS:
             reply = deployment.client(host).chat("clinic", "still here", 2)
             self.assertEqual(reply.status, 200, reply.body)
         deployment.heal()
         wait_until(
-            lambda: any(name.startswith("sgp") for name in self.named("bkk-1")),
-            "the other regions are named again",
+            lambda: any(name.startswith("sgp") for name in self.listed("bkk-1")),
+            "the other regions are listed again",
         )
 
-    def test_host_cut_off_from_its_region_serves_on_and_rejoins(self) -> None:
-        """One host loses the others of its region, in silence and both ways.
+    def test_partitioned_host_still_serves_and_rejoins(self) -> None:
+        """One host is partitioned from the others of its region in both directions.
 
-        Symptom: it refuses its callers; or, after the cut has healed, the two sides
-        still take each other for dead. Cause: needing the others to serve, or speaking
-        only to hosts that live. (What was sent during this cut arrives after it; that
-        a host is found again where everything was lost is shown in memory, by
-        test_membership_gossip.)
+        It must still serve its callers, so it must not need the others for that. After
+        the partition heals, both sides must reconnect, so they must also contact dead
+        hosts. (Here messages sent during the partition arrive after it;
+        test_membership_gossip covers the case where they are lost.)
         """
         deployment = self.deployment
         for other in ("bkk-2", "bkk-3"):
@@ -222,12 +222,12 @@
                 and self.state("bkk-2", "bkk-1") == "dead"
                 and self.state("bkk-3", "bkk-1") == "dead"
             ),
-            "both sides take the other one for dead",
+            "both sides consider each other dead",
         )
         self.assertEqual(self.state("bkk-3", "bkk-2"), "live")
         for host in HOSTS:
             reply = deployment.client(host).chat("clinic", "still here", 2)
             self.assertEqual(reply.status, 200, reply.body)
         deployment.heal()
-        self.wait_named("bkk-1", ["bkk-2", "bkk-3"], named=True)
-        self.wait_named("bkk-2", ["bkk-1"], named=True)
+        self.wait_listed("bkk-1", ["bkk-2", "bkk-3"], listed=True)
+        self.wait_listed("bkk-2", ["bkk-1"], listed=True)
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -1,4 +1,4 @@
-"""Rules of merging and judging, with a clock that the test moves."""
+"""Merging of membership data and failure detection, with a fake clock."""
 
 import time
 import unittest
@@ -12,12 +12,12 @@
 from bronzepoint_node.membership._notice_table import NOTICE_LIFETIME, NoticeTable
 from bronzepoint_node.membership._partners import Partners
 from bronzepoint_node.membership._pulse import (
-    PulseFlag,
+    HeartbeatFlag,
     expand_revision,
+    make_heartbeat,
     make_host_id,
-    make_pulse,
-    pack_pulses,
-    unpack_pulses,
+    pack_heartbeats,
+    unpack_heartbeats,
 )
 from bronzepoint_node.membership._region_table import INCOMPLETE, RegionTable
 from bronzepoint_schema.generated.membership import (
@@ -47,100 +47,107 @@
         self.table.merge_records([make_record("b")])
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass with a round every half second."""
+        """Advance the clock, with a round every half second."""
         for _ in range(round(seconds * 2)):
             self.clock.seconds += 0.5
-            self.table.beat(0.0, 0, PulseFlag.NONE)
+            self.table.update_own_heartbeat(0.0, 0, HeartbeatFlag.NONE)
 
-    def hear(self, counter: int, incarnation: int = 1000, flags: int = 0) -> None:
+    def receive_heartbeat(
+        self, counter: int, incarnation: int = 1000, flags: int = 0
+    ) -> None:
         host_id = make_host_id("b", incarnation)
-        pulse = make_pulse(host_id, counter, 7, 0.5, PulseFlag(flags))
-        self.table.merge_pulses([pulse])
+        heartbeat = make_heartbeat(host_id, counter, 7, 0.5, HeartbeatFlag(flags))
+        self.table.merge_heartbeats([heartbeat])
 
     @params((1.0, "live"), (3.0, "suspect"), (9.0, "dead"))
-    def test_silence(self, seconds: float, state: str) -> None:
-        self.hear(1)
+    def test_state_after_time_without_heartbeat(
+        self, seconds: float, state: str
+    ) -> None:
+        self.receive_heartbeat(1)
         self.pass_time(seconds)
         self.assertEqual(self.table.info("b").state, state)
 
-    def test_repeated_pulse_is_no_sign_of_life(self) -> None:
-        """Gossip brings the last pulse of a dead host again and again.
+    def test_repeated_heartbeat_does_not_keep_a_host_live(self) -> None:
+        """A repeated last heartbeat of a dead host must not keep it live.
 
-        Symptom: a host that died is live for ever. Cause: taking the arrival of a
-        message about it, in place of the advance of its counter, as news of it.
+        Gossip delivers it many times. Only an advance of the counter shows that the
+        host is live, not the arrival of a message about it.
         """
-        self.hear(4)
+        self.receive_heartbeat(4)
         for _ in range(20):
             self.pass_time(0.5)
-            self.hear(4)
+            self.receive_heartbeat(4)
         self.assertEqual(self.table.info("b").state, HostState.dead)
 
     def test_others_stay_live_after_this_process_was_stopped(self) -> None:
-        """This process is stopped for a minute and woken.
+        """A process that was stopped must not consider all other hosts dead.
 
-        Symptom: it calls every other host dead, and its directory names only itself.
-        Sequence: SIGSTOP, a minute, SIGCONT; before its first message is read, the
-        monotonic clock says that nobody was heard for a minute. Cause: the silence was
-        its own.
+        After SIGSTOP, a minute and SIGCONT, the monotonic clock shows that no host
+        sent a heartbeat for a minute, because this process did not run. Its directory
+        would list only itself.
         """
-        self.hear(1)
+        self.receive_heartbeat(1)
         self.pass_time(0.5)
         self.clock.seconds += 60.0
         self.assertEqual(self.table.info("b").state, HostState.live)
         self.pass_time(9.0)
         self.assertEqual(self.table.info("b").state, HostState.dead)
 
-    def test_new_life_supersedes_and_the_old_one_does_not_come_back(self) -> None:
-        self.hear(900)
+    def test_new_incarnation_replaces_the_old_one(self) -> None:
+        self.receive_heartbeat(900)
         self.table.merge_records([make_record("b", 2000)])
-        self.hear(1, incarnation=2000)
+        self.receive_heartbeat(1, incarnation=2000)
         self.table.merge_records([make_record("b", 1000)])
-        self.hear(901, incarnation=1000)
+        self.receive_heartbeat(901, incarnation=1000)
         info = self.table.info("b")
         self.assertEqual((info.incarnation, info.state), (2000, HostState.live))
 
     def test_own_earlier_incarnation_with_a_later_clock_is_superseded(self) -> None:
-        """The clock was set back between two starts of this host.
+        """The clock of this host was set back between two starts.
 
-        Symptom: the others hold its earlier incarnation, see it silent and call it
-        dead, while it runs. Cause: its new incarnation is the lower number.
+        Its new incarnation is the lower number, so the others would keep the earlier
+        one, get no heartbeat of it and consider the running host dead.
         """
         self.table.merge_records([make_record("a", 9000)])
         self.assertEqual(self.table.own.incarnation, 9001)
         own = make_host_id("a", 9001)
-        self.assertIn(own, [pulse.host_id for pulse in self.table.fresh_pulses()])
+        self.assertIn(
+            own, [heartbeat.host_id for heartbeat in self.table.recent_heartbeats()]
+        )
 
-    def test_forgotten_host_comes_back_by_its_own_heartbeat_only(self) -> None:
-        self.hear(5)
+    def test_removed_host_returns_only_with_a_new_heartbeat(self) -> None:
+        self.receive_heartbeat(5)
         self.pass_time(70.0)
-        self.assertEqual(self.table.forget_dead(), ["b"])
+        self.assertEqual(self.table.remove_dead(), ["b"])
         self.table.merge_records([make_record("b")])
-        self.hear(5)
+        self.receive_heartbeat(5)
         self.assertIsNone(self.table.info("b"))
-        self.hear(6)
+        self.receive_heartbeat(6)
         self.assertEqual(self.table.info("b").state, HostState.live)
 
     def test_flags(self) -> None:
-        self.hear(1, flags=PulseFlag.DRAINING | PulseFlag.RUN_ONCE_READY)
+        self.receive_heartbeat(
+            1, flags=HeartbeatFlag.DRAINING | HeartbeatFlag.RUN_ONCE_READY
+        )
         info = self.table.info("b")
         self.assertEqual((info.state, info.run_once_ready), ("draining", True))
-        self.hear(2, flags=PulseFlag.LEFT)
+        self.receive_heartbeat(2, flags=HeartbeatFlag.LEFT)
         self.assertEqual(self.table.info("b").state, HostState.dead)
 
-    def test_unknown_pulse_is_asked_for(self) -> None:
-        pulse = make_pulse(make_host_id("c", 1), 1, 0, 0.0, PulseFlag.NONE)
-        self.assertEqual(self.table.merge_pulses([pulse]), [pulse.host_id])
+    def test_record_of_unknown_heartbeat_is_requested(self) -> None:
+        heartbeat = make_heartbeat(make_host_id("c", 1), 1, 0, 0.0, HeartbeatFlag.NONE)
+        self.assertEqual(self.table.merge_heartbeats([heartbeat]), [heartbeat.host_id])
 
 
 class TestPulse(unittest.TestCase):
     def test_packed_and_unpacked(self) -> None:
-        pulse = make_pulse(7, 2**31, 70_000, 9.0, PulseFlag.LEFT)
-        self.assertEqual(unpack_pulses(pack_pulses([pulse])), [pulse])
-        self.assertEqual((pulse.revision, pulse.load), (70_000 - 65_536, 255))
+        heartbeat = make_heartbeat(7, 2**31, 70_000, 9.0, HeartbeatFlag.LEFT)
+        self.assertEqual(unpack_heartbeats(pack_heartbeats([heartbeat])), [heartbeat])
+        self.assertEqual((heartbeat.revision, heartbeat.load), (70_000 - 65_536, 255))
 
-    def test_cut_short(self) -> None:
+    def test_truncated_bytes_are_refused(self) -> None:
         with self.assertRaisesRegex(ValueError, "another version"):
-            unpack_pulses(b"123")
+            unpack_heartbeats(b"123")
 
     @params((5, 3, 5), (65_535, 65_537, 65_535), (2, 65_535, 65_538), (9, 0, 9))
     def test_revision(self, low: int, near: int, whole: int) -> None:
@@ -160,11 +167,11 @@
         self.assertFalse(self.table.merge(self.report(8, 8, listed=True)))
         self.assertEqual(self.table.hosts("bkk")[0].name, "h9")
 
-    def test_missed_list_is_asked_for(self) -> None:
-        """A report without its list comes after the one that had it was lost.
+    def test_missed_list_is_requested(self) -> None:
+        """A report with a changed list is lost, and the next one has no list.
 
-        Symptom: requests are forwarded to hosts that were replaced. Cause: the newer
-        sequence number makes the sender believe that the list has arrived.
+        The newer sequence number would make the sender assume that the list has
+        arrived, and requests would be forwarded to hosts that were replaced.
         """
         self.table.merge(self.report(5, 5, listed=True))
         self.table.merge(self.report(7, 6, listed=False))
@@ -189,7 +196,7 @@
         (False, 10, True, 10, True),
         (True, 10, False, 11, False),
     )
-    def test_newest_word_counts(
+    def test_newest_notice_wins(
         self, first: bool, at: float, second: bool, later: float, leaving: bool
     ) -> None:
         now = time.time()
@@ -200,10 +207,11 @@
         self.assertIs(notice.leaving, leaving)
 
     def test_old_notice_is_not_taken(self) -> None:
-        """A partition heals and brings what a target said before it returned.
+        """A notice from before a partition must not be applied after it heals.
 
-        Symptom: a target that works gets nothing, in one half of a region. Cause: a
-        notice that nobody renews would otherwise live as long as one host holds it.
+        The target may have returned since. Without expiry, a notice that no host
+        renews would remain as long as one host holds it, and a working target would
+        get no requests.
         """
         table = NoticeTable()
         old = TargetNotice("t", True, time.time() - 2 * NOTICE_LIFETIME)
@@ -211,7 +219,7 @@
 
 
 class TestRendezvous(unittest.TestCase):
-    def test_a_loss_moves_no_other_name(self) -> None:
+    def test_removal_keeps_the_order_of_other_names(self) -> None:
         names = [f"host-{i}" for i in range(30)]
         before = rendezvous_order("key", names)
         after = rendezvous_order("key", [n for n in names if n != before[0]])
@@ -229,23 +237,22 @@
         others = list(self.infos.values())
         return [self.partners.next(others, 0.5) for _ in range(count)]
 
-    def test_everyone_has_a_turn(self) -> None:
+    def test_each_host_is_contacted_in_rotation(self) -> None:
         chosen = [name for names in self.rounds(7) for name in names]
         self.assertEqual(sorted(chosen), list("bcdefgh"))
 
-    def test_quiet_host_is_asked_directly_and_not_all_the_time(self) -> None:
-        """The news of a host took a long way, and the host is well.
+    def test_unresponsive_host_is_contacted_directly_but_not_every_round(self) -> None:
+        """A healthy host whose heartbeats take a long path must not be suspected.
 
-        Symptom: now and then a host is suspected for a moment. Cause: waiting for
-        gossip to bring its heartbeat though one question would settle it.
+        One direct exchange gets its heartbeat, without waiting for gossip.
         """
         self.infos["e"].silent_for = 2.0
-        asked = [names == ["e"] for names in self.rounds(9)]
-        self.assertTrue(asked[0])
-        self.assertLess(asked.count(True), 6)
+        contacted = [names == ["e"] for names in self.rounds(9)]
+        self.assertTrue(contacted[0])
+        self.assertLess(contacted.count(True), 6)
 
-    def test_dead_hosts_are_tried_now_and_then(self) -> None:
+    def test_dead_hosts_are_contacted_periodically(self) -> None:
         for name in "bcd":
             self.infos[name].state = HostState.dead
-        tried = [len(names) for names in self.rounds(8)]
-        self.assertEqual(tried, [1, 1, 1, 2, 1, 1, 1, 2])
+        counts = [len(names) for names in self.rounds(8)]
+        self.assertEqual(counts, [1, 1, 1, 2, 1, 1, 1, 2])
