--- a/packages/node/src/bronzepoint_node/membership/_host_table.py
+++ b/packages/node/src/bronzepoint_node/membership/_host_table.py
@@ -36,7 +36,7 @@
     record: HostRecord
     host_id: HostId
     learned_at: float
-    heartbeat: Heartbeat | None = None
+    pulse: Heartbeat | None = None
     last_contact_at: float | None = None
 
 
@@ -106,7 +106,7 @@
         """Advance this host's own counter and set its load, revision and flags."""
         self._counter += 1
         known = self._hosts[self.own.name]
-        known.heartbeat = make_heartbeat(
+        known.pulse = make_heartbeat(
             known.host_id, self._counter, revision, load, flags
         )
         known.last_contact_at = self._clock.now()
@@ -122,11 +122,11 @@
         self.own = msgspec.structs.replace(
             self.own, incarnation=incarnation + _RESTART_MARGIN
         )
-        heartbeat = self._hosts[self.own.name].heartbeat
+        heartbeat = self._hosts[self.own.name].pulse
         self._put(self.own)
         known = self._hosts[self.own.name]
         assert heartbeat is not None
-        known.heartbeat = heartbeat._replace(host_id=known.host_id)
+        known.pulse = heartbeat._replace(host_id=known.host_id)
         known.last_contact_at = self._clock.now()
 
     def merge_records(self, records: Iterable[HostRecord]) -> list[HostRecord]:
@@ -146,8 +146,8 @@
             known = self._hosts[name]
             if name == self.own.name or known.host_id != heartbeat.host_id:
                 continue
-            if known.heartbeat is None or heartbeat.counter > known.heartbeat.counter:
-                known.heartbeat = heartbeat
+            if known.pulse is None or heartbeat.counter > known.pulse.counter:
+                known.pulse = heartbeat
                 known.last_contact_at = now
                 self.version += 1
         self._recount()
@@ -157,9 +157,9 @@
         """Return the heartbeats that advanced within `suspect_after` seconds."""
         horizon = self._clock.now() - self.suspect_after
         return [
-            known.heartbeat
+            known.pulse
             for known in self._hosts.values()
-            if known.heartbeat is not None
+            if known.pulse is not None
             and known.last_contact_at is not None
             and known.last_contact_at >= horizon
         ]
@@ -309,11 +309,11 @@
         for name, known in self._tombstones.items():
             if known.host_id != heartbeat.host_id:
                 continue
-            if known.heartbeat is None or heartbeat.counter > known.heartbeat.counter:
+            if known.pulse is None or heartbeat.counter > known.pulse.counter:
                 del self._tombstones[name]
                 self._hosts[name] = known
                 self._names[known.host_id] = name
-                known.heartbeat = heartbeat
+                known.pulse = heartbeat
                 known.last_contact_at = now
             return True
         return False
@@ -323,7 +323,7 @@
 
     def _info(self, known: KnownHost, now: float, bounds: _Bounds) -> HostInfo:
         record = known.record
-        heartbeat = known.heartbeat
+        heartbeat = known.pulse
         last_contact_at = (
             known.last_contact_at
             if known.last_contact_at is not None
@@ -346,7 +346,7 @@
 
     def _state(self, known: KnownHost, silent_for: float, bounds: _Bounds) -> HostState:
         own = known.record.name == self.own.name
-        flags = HeartbeatFlag.NONE if known.heartbeat is None else known.heartbeat.flags
+        flags = HeartbeatFlag.NONE if known.pulse is None else known.pulse.flags
         if HeartbeatFlag.LEFT in flags:
             return HostState.dead
         if silent_for > bounds.dead and not own:
--- a/packages/node/src/bronzepoint_node/membership/_notice_table.py
+++ b/packages/node/src/bronzepoint_node/membership/_notice_table.py
@@ -33,7 +33,7 @@
     def merge(self, notices: Iterable[TargetNotice]) -> list[TargetNotice]:
         """Merge notices and return those that were newer."""
         now = self._wall_clock()
-        taken = []
+        merged = []
         for notice in notices:
             if abs(now - notice.as_of) > NOTICE_LIFETIME:
                 continue
@@ -41,8 +41,8 @@
             known = self._notices.get(key)
             if known is None or supersedes(notice, known):
                 self._notices[key] = notice
-                taken.append(notice)
-        return taken
+                merged.append(notice)
+        return merged
 
     def drop_old(self) -> None:
         """Drop expired notices."""
--- a/packages/node/src/bronzepoint_node/orders/__init__.py
+++ b/packages/node/src/bronzepoint_node/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines, given only by the lease holder."""
+"""Orders to engines to load a model version, sent only by the lease holder."""
 
 from bronzepoint_node.orders._engine import EngineClient
 from bronzepoint_node.orders._errors import (
@@ -11,7 +11,7 @@
 )
 from bronzepoint_node.orders._numbers import OrderNumbers
 from bronzepoint_node.orders._orders import Orders
-from bronzepoint_node.orders._pace import LoadPace
+from bronzepoint_node.orders._pace import LoadRateLimiter
 from bronzepoint_node.orders._plan import EngineView, Plan, plan_steps
 from bronzepoint_node.orders._wanted import WantedEngine, wanted_engines
 
@@ -20,7 +20,7 @@
     "EngineUnreachable",
     "EngineView",
     "LeaseLost",
-    "LoadPace",
+    "LoadRateLimiter",
     "OrderError",
     "OrderFenced",
     "OrderNumbers",
--- a/packages/node/src/bronzepoint_node/orders/_engine.py
+++ b/packages/node/src/bronzepoint_node/orders/_engine.py
@@ -1,4 +1,4 @@
-"""The exchange of states and orders with engines."""
+"""HTTP client that reads the state of engines and sends them orders."""
 
 from collections.abc import Callable
 
@@ -22,6 +22,7 @@
 PATH = "/orders"
 _JSON = {"Content-Type": "application/json"}
 _DEFAULT_RETRY_AFTER = 1.0
+"""Seconds to wait if the engine's answer has no valid Retry-After header."""
 _LIMITS = HttpLimits(
     max_head=16384,
     max_body=65536,
@@ -33,15 +34,15 @@
 
 
 class EngineClient:
-    """Reads an engine's state, then orders on the same connection.
+    """Reads an engine's state, then sends orders on the same connection.
 
-    An engine that ignores fencing numbers is protected by the connection: it closes
-    one that stays idle. What happens without that: the host checks its lease, is
-    frozen, and another holder orders a newer version; when the first host wakes it
-    writes the old order, and the engine goes back. One would notice a target whose
-    version changes to a former one. Here the connection is opened and used before the
-    lease is checked, and only an open connection is written to after the check, so
-    what a frozen host writes late meets a closed connection.
+    Fencing numbers don't protect an engine that ignores them. If a host were frozen
+    after it checked its lease, another holder could order a newer version, and the
+    first host would send its old order when it resumes: the engine would go back to
+    the old version. Such an engine closes idle connections. So the connection is
+    opened and used before the lease is checked, and after the check only an open
+    connection is written to. A late write of a frozen host then fails on a closed
+    connection.
 
     Args:
         timeout: Seconds to wait for an engine.
@@ -52,14 +53,14 @@
         self._client = HttpClient(_LIMITS, timeout)
 
     async def close(self) -> None:
-        """Close all connections: on loss of the lease, and at shutdown."""
+        """Close all connections, on loss of the lease and at shutdown."""
         await self._client.close()
 
     async def state(self, target: Target) -> EngineState:
-        """Return what an engine has loaded.
+        """Return the state of an engine.
 
         Raises:
-            EngineUnreachable: No answer, or none that can be read.
+            EngineUnreachable: No answer, or one that can't be decoded.
         """
         answer = await self._fetch(target, "GET", b"", None)
         if answer.status != 200:
@@ -69,21 +70,21 @@
         except msgspec.MsgspecError as exc:
             raise EngineUnreachable(target.name, str(exc)) from exc
 
-    async def give(
+    async def send(
         self, target: Target, order: Order, check: Callable[[], None]
     ) -> None:
-        """Give an order; the same one may be given again.
+        """Send an order; the same order may be sent again.
 
         Args:
             target: The engine.
             order: The order.
-            check: Called when all that remains is to write; raises where the order
-                must not be given any more.
+            check: Called right before the order is written; raises if it must not be
+                sent any more.
 
         Raises:
-            LeaseLost: From check; nothing was sent.
-            EngineUnreachable: Whether the engine took it is unknown.
-            OrderFenced, OrderRefused, WeightsLimited: The engine did not take it.
+            LeaseLost: Raised by `check`; nothing was sent.
+            EngineUnreachable: It is unknown whether the engine accepted the order.
+            OrderFenced, OrderRefused, WeightsLimited: The engine refused the order.
         """
         answer = await self._fetch(target, "POST", msgspec.json.encode(order), check)
         match answer.status:
--- a/packages/node/src/bronzepoint_node/orders/_held.py
+++ b/packages/node/src/bronzepoint_node/orders/_held.py
@@ -1,4 +1,4 @@
-"""What a host remembers while it holds one lease."""
+"""State that a host keeps while it holds a lease."""
 
 from dataclasses import dataclass, field
 
@@ -10,11 +10,11 @@
 
 @dataclass
 class HeldLease:
-    """One lease, from the first look at it until it ends.
+    """A lease held by this host, until it ends.
 
     Attributes:
-        numbers: Gives the orders their numbers.
-        since: Monotonic time at which this host saw that it holds the lease.
+        numbers: Generates the numbers of orders.
+        since: Monotonic time (s) at which this host found that it holds the lease.
         pending: Orders whose outcome is unknown.
         errors: Last error of each engine.
     """
@@ -25,10 +25,10 @@
     errors: dict[TargetName, str] = field(default_factory=dict)
 
     def order_for(self, view: EngineView) -> Order:
-        """Return the order to give now.
+        """Return the order to send now.
 
-        An order without an answer may have been taken: it is given again under its
-        own identifier, so that the engine does not load twice.
+        An order without an answer may have been accepted. It is sent again with the
+        same identifier, so that the engine does not load twice.
         """
         target, version = view.wanted.target.name, view.wanted.version
         order = self.pending.get(target)
@@ -37,8 +37,8 @@
         self.pending[target] = order
         return order
 
-    def note_state(self, target: TargetName, state: EngineState) -> None:
-        """Take what an engine reports: an order that it names has arrived."""
+    def record_state(self, target: TargetName, state: EngineState) -> None:
+        """Remove an engine's pending order if its state shows that it arrived."""
         order = self.pending.get(target)
         if order is not None and state.order == order.order:
             del self.pending[target]
--- a/packages/node/src/bronzepoint_node/orders/_numbers.py
+++ b/packages/node/src/bronzepoint_node/orders/_numbers.py
@@ -1,18 +1,18 @@
-"""Fencing numbers and identifiers of single orders."""
+"""Fencing numbers and identifiers of orders."""
 
 from bronzepoint_schema.generated.platform import Order
 from bronzepoint_schema.ids import FencingNumber
 
 SEQUENCE_BITS = 24
-"""Orders of one lease: 16 million, far more than a term ever sees."""
+"""Bits for the sequence of orders in one lease; 16 million are never reached."""
 
 
 class OrderNumbers:
-    """Numbers the orders of one lease.
+    """Generates the fencing numbers of the orders of one lease.
 
-    The lease's number stands in the upper bits, so every order of a newer lease is
-    above all orders of an older one. The lower bits count: an order that was delayed
-    on the way can't undo a later one of the same lease.
+    The upper bits are the lease's number, so every order of a newer lease has a
+    higher number than all orders of an older one. The lower bits count the orders, so
+    that a delayed order can't undo a later one of the same lease.
 
     Args:
         lease: Number of the lease.
@@ -23,7 +23,7 @@
         self._sequence = 0
 
     def next_order(self, version: str) -> Order:
-        """Return a new order to load a version of the model that an engine has."""
+        """Return a new order to load a version of an engine's model."""
         self._sequence += 1
         number = (self.lease << SEQUENCE_BITS) + self._sequence
         return Order(order=f"order-{number}", fencing_number=number, version=version)
--- a/packages/node/src/bronzepoint_node/orders/_plan.py
+++ b/packages/node/src/bronzepoint_node/orders/_plan.py
@@ -1,4 +1,4 @@
-"""Which engines may change their version now: a pure decision."""
+"""Selects the engines that may change their version now, as a pure function."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 class _Pool(NamedTuple):
-    """The engines of one entry in one region: what must not run dry together."""
+    """The engines of one entry in one region, which must not all be down."""
 
     entry: EntryName
     region: RegionName
@@ -20,13 +20,13 @@
 
 @dataclass
 class EngineView:
-    """One engine as wanted and as seen.
+    """Wanted and reported state of one engine.
 
     Attributes:
-        wanted: What the catalogue wants.
-        state: What the engine reports; None where it gives no answer.
-        pending: True while an order to it has an unknown outcome.
-        detail: The last error, for operators.
+        wanted: The engine with the versions that the catalogue wants.
+        state: State that the engine reported; None if it did not answer.
+        pending: Whether an order to it has an unknown outcome.
+        detail: Last error, for operators.
     """
 
     wanted: WantedEngine
@@ -36,7 +36,7 @@
 
     @property
     def phase(self) -> EnginePhase:
-        """How far the engine is from what is wanted."""
+        """Phase of the engine's change to the wanted version."""
         if len(self.wanted.versions) > 1:
             return EnginePhase.contradiction
         if self.state is None:
@@ -49,7 +49,7 @@
 
     @property
     def serving(self) -> bool:
-        """True where its slots surely count towards the share that stays up."""
+        """Whether its slots count towards the share that must stay up."""
         return self.phase in (
             EnginePhase.current,
             EnginePhase.outdated,
@@ -57,12 +57,12 @@
         )
 
     def pools(self) -> list[_Pool]:
-        """Return the pools that lose its slots while it loads."""
+        """Return the pools that lose the engine's slots while it loads."""
         region = self.wanted.target.region
         return [_Pool(entry, region) for entry in self.wanted.entries]
 
     def progress(self, detail: str = "") -> EngineProgress:
-        """Return what operators see."""
+        """Return the progress for operators."""
         return EngineProgress(
             target=self.wanted.target.name,
             region=self.wanted.target.region,
@@ -75,11 +75,11 @@
 
 @dataclass
 class Plan:
-    """The engines to order now, and why others wait.
+    """Engines to send orders to now, and why others wait.
 
     Attributes:
-        steps: Engines to order, in this order.
-        blocked: Why an outdated engine is not ordered, with the remedy.
+        steps: Engines to send orders to, in this sequence.
+        blocked: Reason and remedy for each outdated engine that gets no order.
     """
 
     steps: list[EngineView] = field(default_factory=list)
@@ -87,11 +87,11 @@
 
 
 def plan_steps(engines: Iterable[EngineView], keep_share: float) -> Plan:
-    """Return the steps that leave each pool its share of slots.
+    """Return the steps that keep the required share of slots in each pool.
 
-    An engine that loads serves nothing. Were all told at once, a region would answer
-    nothing until the last load has ended; an engine that gives no answer counts as
-    down, so a failure beside a change does not add to it.
+    An engine serves no requests while it loads. If all engines loaded at the same
+    time, a region would not answer until the last load has ended. An engine that does
+    not answer counts as down, so that failures during a change are included.
 
     Args:
         engines: All engines.
@@ -105,11 +105,13 @@
         if view.phase is not EnginePhase.outdated or not view.wanted.takes_orders:
             continue
         slots = view.wanted.target.slots
-        short = [
+        insufficient = [
             pool for pool in view.pools() if up[pool] - slots < keep_share * total[pool]
         ]
-        if short:
-            plan.blocked[view.wanted.target.name] = _describe(short[0], keep_share)
+        if insufficient:
+            plan.blocked[view.wanted.target.name] = _blocked_reason(
+                insufficient[0], keep_share
+            )
             continue
         for pool in view.pools():
             up[pool] -= slots
@@ -125,9 +127,9 @@
     return slots
 
 
-def _describe(pool: _Pool, keep_share: float) -> str:
+def _blocked_reason(pool: _Pool, keep_share: float) -> str:
     return (
-        f"waits: without it less than {keep_share:.0%} of the slots of entry "
+        f"waits: while it loads, less than {keep_share:.0%} of the slots of entry "
         f"{pool.entry} in {pool.region} would be up; if no other engine is loading, "
         "add a target there or lower [orders] keep_share"
     )
--- a/packages/node/src/bronzepoint_node/orders/_wanted.py
+++ b/packages/node/src/bronzepoint_node/orders/_wanted.py
@@ -1,4 +1,4 @@
-"""What the catalogue wants of each engine."""
+"""Model versions that the catalogue wants on each engine."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -17,9 +17,9 @@
     """One engine, which several entries may share.
 
     Attributes:
-        target: The engine, as the catalogue states it.
-        entries: The entries that use it.
-        versions: The versions that they want; more than one is a contradiction.
+        target: The engine's target in the catalogue.
+        entries: Entries that use it.
+        versions: Versions that they want; more than one is a contradiction.
     """
 
     target: Target
@@ -28,19 +28,19 @@
 
     @property
     def version(self) -> str:
-        """The wanted version; empty where none is, or where entries contradict."""
+        """Wanted version; empty if there is none or the entries contradict."""
         return next(iter(self.versions)) if len(self.versions) == 1 else ""
 
     @property
     def takes_orders(self) -> bool:
-        """True where the engine is there to stay and listens to orders."""
+        """Whether the engine accepts orders and its target is not leaving."""
         return self.target.orders is not OrderProtocol.none and not self.target.leaving
 
 
 def wanted_engines(
     items: Iterable[CatalogueItem],
 ) -> dict[TargetName, WantedEngine]:
-    """Return all engines of model entries, by name."""
+    """Return all engines of model entries, keyed by target name."""
     engines: dict[TargetName, WantedEngine] = {}
     for item in items:
         if not isinstance(item, ModelEntry):
--- a/tests/_orders_site.py
+++ b/tests/_orders_site.py
@@ -1,4 +1,4 @@
-"""Engines and a weight store as processes, for the tests of orders."""
+"""Stub engines and a weight store in processes, for the tests of orders."""
 
 import json
 import tempfile
@@ -25,7 +25,7 @@
 
 @dataclass
 class FakeAgreement:
-    """A lease that the test gives and takes."""
+    """Fake agreement whose lease the test sets."""
 
     number: int | None = None
     age: float | None = 0.0
@@ -38,7 +38,7 @@
 
 
 class FakeView:
-    """A catalogue that the test writes."""
+    """Fake catalogue whose entries the test sets."""
 
     def __init__(self, *entries):
         self.ready = True
@@ -50,7 +50,7 @@
 
 @dataclass
 class Engines:
-    """Running engines, all in one process, with their weight store."""
+    """Running engines in one process, and their weight store."""
 
     specs: list[EngineSpec]
     process: ManagedProcess
@@ -79,7 +79,7 @@
         return [self._get(spec, "/orders") for spec in self.specs]
 
     def orders(self):
-        """Return all orders that reached the engines, refused ones too."""
+        """Return all orders that reached the engines, including refused ones."""
         return [
             order
             for spec in self.specs
--- a/tests/_stale_holder.py
+++ b/tests/_stale_holder.py
@@ -1,8 +1,8 @@
-"""A lease holder that is frozen between its check and its write.
+"""A lease holder that is frozen between the check of its lease and its write.
 
-``python -m tests._stale_holder ENTRY_FILE``: gives one order to the engines of the
-entry, but stops itself (SIGSTOP) after the check that is made right before the write.
-It writes how the order ended to standard output and ends.
+``python -m tests._stale_holder ENTRY_FILE`` sends one order to the engines of the
+entry, but stops itself (SIGSTOP) after the check that comes right before the write.
+It prints the metric that shows how the order ended, and exits.
 """
 
 import os
@@ -20,19 +20,20 @@
 from tests._orders_site import FakeAgreement, FakeView
 
 LEASE = 5
-ENDS = ("orders.taken", "refusal.order_fenced", "retry.order_unanswered")
+"""Number of the stale holder's lease."""
+OUTCOMES = ("orders.taken", "refusal.order_fenced", "retry.order_unanswered")
 
 
 class FreezingAgreement(FakeAgreement):
-    """Stops the process after the second look, which is the one before the write."""
+    """Stops the process at the second check, which comes right before the write."""
 
-    looks = 0
+    checks = 0
 
     def lease(self):
-        self.looks += 1
-        if self.looks == 2:
+        self.checks += 1
+        if self.checks == 2:
             os.kill(os.getpid(), signal.SIGSTOP)
-        return self.number if self.looks <= 2 else None
+        return self.number if self.checks <= 2 else None
 
 
 async def main(entry):
@@ -40,11 +41,11 @@
     cfg = OrdersSection(poll=0.05, takeover_wait=0.0, timeout=5.0)
     orders = Orders(FreezingAgreement(LEASE), FakeView(entry), metrics, cfg)
     await orders.start()
-    ended = []
-    while not ended:
+    outcome = []
+    while not outcome:
         await curio.sleep(0.02)
-        ended = [name for name in ENDS if metrics.counters().get(name)]
-    print(ended[0])
+        outcome = [name for name in OUTCOMES if metrics.counters().get(name)]
+    print(outcome[0])
     await orders.close()
 
 
--- a/tests/test_orders_engines.py
+++ b/tests/test_orders_engines.py
@@ -1,4 +1,4 @@
-"""Orders to real engine processes: who gives them, how fast, and again after faults."""
+"""Orders to real engine processes: lease, rate limit and retries after faults."""
 
 import unittest
 from contextlib import asynccontextmanager
@@ -13,6 +13,7 @@
 from tests._orders_site import FakeAgreement, FakeView, engines
 
 DEADLINE = 30.0
+"""Maximum seconds to wait for a condition."""
 FAST = OrdersSection(
     poll=0.05,
     polls_per_second=1000.0,
@@ -38,8 +39,8 @@
         await orders.close()
 
 
-async def reached(condition, *args):
-    """Poll until a condition holds, in a thread since it asks processes."""
+async def wait_for(condition, *args):
+    """Poll until a condition holds, in a thread because it queries processes."""
     async with curio.timeout_after(DEADLINE):
         while not await curio.run_in_thread(condition, *args):
             await curio.sleep(0.02)
@@ -52,73 +53,72 @@
             view = FakeView(site.entry("2"))
             async with ordering(agreement, view) as (orders, _):
                 passes = []
-                await reached(lambda: passes.append(1) or len(passes) > 20)
+                await wait_for(lambda: passes.append(1) or len(passes) > 20)
                 self.assertEqual(site.orders(), [])
                 self.assertFalse(orders.status().holder)
                 agreement.number = 7
-                await reached(site.all_at, "2")
+                await wait_for(site.all_at, "2")
                 self.assertTrue(orders.status().holder)
                 agreement.number = None
-                await reached(lambda: not orders.status().holder)
+                await wait_for(lambda: not orders.status().holder)
 
         with engines() as site:
             curio.run(main, site)
 
     def test_lease_is_checked_right_before_the_write(self):
-        """Symptom: a host that has lost the lease still gives an order.
+        """A host must not send an order after its lease has ended.
 
-        Sequence: the lease ends while the host looks at engines and connects. Cause:
-        the lease was checked only at the beginning of the pass.
+        The lease may end while the host polls engines and connects, so a check at the
+        beginning of the pass is not enough.
         """
 
         async def main(site):
             class EndingAgreement(FakeAgreement):
-                looks = 0
+                checks = 0
 
                 def lease(self):
-                    self.looks += 1
-                    return self.number if self.looks == 1 else None
+                    self.checks += 1
+                    return self.number if self.checks == 1 else None
 
             view = FakeView(site.entry("2"))
             async with ordering(EndingAgreement(7), view) as (_, metrics):
-                await reached(lambda: metrics.counters().get("orders.lease_lost", 0))
+                await wait_for(lambda: metrics.counters().get("orders.lease_lost", 0))
                 self.assertEqual(site.orders(), [])
 
         with engines() as site:
             curio.run(main, site)
 
     def test_catalogue_behind_the_log_gives_no_orders(self):
-        """Symptom: an engine goes back to a version that was replaced.
+        """A new leader with an outdated catalogue must not send orders.
 
-        Sequence: a host is elected while its own view of the catalogue is behind the
-        log, and orders what that view wants. Cause: the lease alone says nothing
-        about the view.
+        The lease does not show whether the catalogue is behind the log. The leader
+        would order a version that was already replaced.
         """
 
         async def main(site):
             agreement = FakeAgreement(number=7, age=None)
             view = FakeView(site.entry("0"))
             async with ordering(agreement, view) as (orders, _):
-                await reached(lambda: orders._held is not None)
+                await wait_for(lambda: orders._held is not None)
                 passes = []
-                await reached(lambda: passes.append(1) or len(passes) > 20)
+                await wait_for(lambda: passes.append(1) or len(passes) > 20)
                 self.assertEqual(site.orders(), [])
                 view.entries = (site.entry("2"),)
                 agreement.age = 0.0
-                await reached(site.all_at, "2")
+                await wait_for(site.all_at, "2")
                 self.assertEqual({o["version"] for o in site.orders()}, {"2"})
 
         with engines() as site:
             curio.run(main, site)
 
-    def test_unfenced_engines_wait_out_the_former_holder(self):
+    def test_unfenced_engines_get_no_order_before_the_takeover_wait_ends(self):
         async def main(site):
             cfg = with_section(takeover_wait=1e6)
             view = FakeView(site.entry("2"))
             async with ordering(FakeAgreement(7), view, cfg) as (orders, _):
-                await reached(lambda: orders.status().unfenced_wait > 0)
+                await wait_for(lambda: orders.status().unfenced_wait > 0)
                 passes = []
-                await reached(lambda: passes.append(1) or len(passes) > 20)
+                await wait_for(lambda: passes.append(1) or len(passes) > 20)
                 self.assertEqual(site.orders(), [])
 
         with engines(check=OrderCheck.unfenced) as site:
@@ -126,25 +126,24 @@
 
 
 class FaultTest(unittest.TestCase):
-    def test_weight_store_is_not_overrun(self):
-        """Symptom: loads fail for a long time, the store refuses nearly all.
+    def test_weight_store_refuses_few_loads(self):
+        """The common rate limit must keep refusals of the weight store low.
 
-        Sequence: a version changes, and every engine is told to load; each refused
-        one is told again at the next look. Cause: no common pace. Without the pace
-        this gave dozens of refusals for six loads.
+        Without it, each refused engine gets a new order at the next poll, which led
+        to dozens of refusals for six loads.
         """
 
         async def main(site):
             cfg = with_section(keep_share=0.0)
             async with ordering(FakeAgreement(7), FakeView(site.entry("2")), cfg):
-                await reached(site.all_at, "2")
+                await wait_for(site.all_at, "2")
                 self.assertLessEqual(site.store_counts()["limited"], 8)
 
         with engines(count=6, rate=2.0) as site:
             curio.run(main, site)
 
     def test_share_of_engines_stays_up(self):
-        """Symptom: no engine answers while a new version is loaded."""
+        """Some engines must keep serving while others load a new version."""
 
         async def main(site):
             view = FakeView(site.entry("2"))
@@ -163,66 +162,65 @@
 
     @params(OrderCheck.fenced, OrderCheck.unfenced)
     def test_resent_order_is_carried_out_once(self, check):
-        """Symptom: an engine loads the same version twice, and is down twice.
+        """An order that is resent must not make the engine load twice.
 
-        Sequence: the engine takes an order but its answer doesn't come in time; the
-        order is given again. Cause: a resend that looks like a new order.
+        The engine accepts an order, but its answer is late and the order is resent.
+        If the resend looked like a new order, the engine would load again.
         """
 
         async def main(site):
             class FreezingAgreement(FakeAgreement):
-                looks = 0
+                checks = 0
 
                 def lease(self):
-                    self.looks += 1
-                    if self.looks == 2:
-                        # The second look is the check right before the order.
+                    self.checks += 1
+                    if self.checks == 2:
+                        # The second check comes right before the order is sent.
                         site.process.freeze()
                     return self.number
 
             view = FakeView(site.entry("2"))
             cfg = with_section(timeout=0.3, keep_share=0.0)
             async with ordering(FreezingAgreement(7), view, cfg) as (_, metrics):
-                await reached(
+                await wait_for(
                     lambda: metrics.counters().get("retry.order_unanswered", 0)
                 )
                 site.process.thaw()
-                await reached(site.all_at, "2")
-                taken = [o for o in site.orders() if o["result"] == "accepted"]
-                self.assertEqual(len(taken), 1, site.orders())
+                await wait_for(site.all_at, "2")
+                accepted = [o for o in site.orders() if o["result"] == "accepted"]
+                self.assertEqual(len(accepted), 1, site.orders())
 
         with engines(count=1, check=check, slots=1) as site:
             curio.run(main, site)
 
     @params(OrderCheck.fenced, OrderCheck.unfenced)
-    def test_slow_fetch_is_not_begun_anew(self, check):
-        """Symptom: an engine never gets its version although the store serves it.
+    def test_slow_fetch_is_not_restarted(self, check):
+        """A resent order must not restart a fetch that is slower than the timeout.
 
-        Sequence: the fetch takes longer than the host waits for the answer; each
-        resend carries a newer number, which makes the engine drop the fetch before
-        it. Cause: a resend that looks like a new order.
+        If each resend had a newer number, the engine would cancel its previous fetch
+        each time and never load the version.
         """
 
         async def main(site):
             cfg = with_section(timeout=0.2, keep_share=0.0)
             view = FakeView(site.entry("2"))
             async with ordering(FakeAgreement(7), view, cfg) as (_, metrics):
-                await reached(site.all_at, "2")
+                await wait_for(site.all_at, "2")
                 self.assertGreater(metrics.counters()["retry.order_unanswered"], 0)
                 self.assertEqual(len({o["order"] for o in site.orders()}), 1)
 
         with engines(count=1, check=check, fetch_time=1.0) as site:
             curio.run(main, site)
 
-    def test_engine_that_knows_a_newer_number_is_reported(self):
+    def test_engine_with_a_newer_fencing_number_is_reported(self):
         async def main(site):
             view = FakeView(site.entry("2"))
             async with ordering(FakeAgreement(9), view):
-                await reached(site.all_at, "2")
+                await wait_for(site.all_at, "2")
             view = FakeView(site.entry("3"))
             async with ordering(FakeAgreement(8), view) as (orders, metrics):
                 message = "has seen fencing number"
-                await reached(
+                await wait_for(
                     lambda: any(message in e.detail for e in orders.status().engines)
                 )
                 self.assertGreater(metrics.counters()["refusal.order_fenced"], 0)
@@ -233,21 +231,21 @@
         with engines() as site:
             curio.run(main, site)
 
-    def test_restarted_engine_is_brought_back(self):
+    def test_restarted_engine_gets_its_version_again(self):
         async def main(site):
             view = FakeView(site.entry("2"))
             async with ordering(FakeAgreement(7), view):
-                await reached(site.all_at, "2")
+                await wait_for(site.all_at, "2")
                 site.process.kill()
                 site.process.start()
-                await reached(lambda: not_raising(site.all_at, "2"))
+                await wait_for(lambda: holds_without_error(site.all_at, "2"))
 
         with engines() as site:
             curio.run(main, site)
 
 
-def not_raising(condition, *args):
-    """Take a refused connection for a condition that doesn't hold yet."""
+def holds_without_error(condition, *args):
+    """Treat a refused connection as a condition that doesn't hold yet."""
     try:
         return condition(*args)
     except OSError:
--- a/tests/test_orders_plan.py
+++ b/tests/test_orders_plan.py
@@ -1,4 +1,4 @@
-"""Which engines may change now, at which pace, and under which numbers."""
+"""Selection of engines to change, rate limit of loads, and fencing numbers."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 from bronzepoint_node.orders import (
     EngineView,
-    LoadPace,
+    LoadRateLimiter,
     OrderNumbers,
     WantedEngine,
     plan_steps,
@@ -60,7 +60,7 @@
         self.assertEqual(len(plan.blocked), waiting)
 
     def test_each_region_keeps_its_share(self):
-        """Symptom: a region answers nothing while the fleet as a whole looks well.
+        """Each region must keep its share of slots, not only the whole fleet.
 
         Half of all engines may be down, but not both engines of one region.
         """
@@ -78,7 +78,7 @@
         views[0].pending = True
         self.assertEqual(names(plan_steps(views, 0.5)), [])
 
-    def test_leaving_and_deaf_engines_get_no_orders(self):
+    def test_leaving_and_orderless_engines_get_no_orders(self):
         views = [
             view("e1", OLD, leaving=True),
             view("e2", OLD, orders=OrderProtocol.none),
@@ -86,10 +86,10 @@
         ]
         self.assertEqual(names(plan_steps(views, 0.5)), ["e3"])
 
-    def test_contradiction_is_reported_not_fought_over(self):
-        """Symptom: an engine loads two versions in turns, for ever.
+    def test_contradiction_is_reported_and_gets_no_order(self):
+        """An engine must not load two versions alternately without end.
 
-        Sequence: two entries share an engine and want different versions.
+        Two entries share the engine and want different versions.
         """
         shared = target("e1")
         entries = [
@@ -102,16 +102,16 @@
         self.assertEqual(names(plan_steps([seen], 0.0)), [])
 
 
-class PaceTest(unittest.TestCase):
+class RateLimiterTest(unittest.TestCase):
     def test_refusal_slows_and_success_speeds_up_again(self):
-        pace = LoadPace(1.0)
-        pace.started(100.0)
-        self.assertEqual(pace.wait(100.5), 0.5)
-        pace.limited(101.0, 5.0)
-        self.assertEqual((pace.interval, pace.wait(101.0)), (2.0, 5.0))
+        limiter = LoadRateLimiter(1.0)
+        limiter.started(100.0)
+        self.assertEqual(limiter.wait(100.5), 0.5)
+        limiter.limited(101.0, 5.0)
+        self.assertEqual((limiter.interval, limiter.wait(101.0)), (2.0, 5.0))
         for _ in range(20):
-            pace.succeeded()
-        self.assertEqual(pace.interval, 1.0)
+            limiter.succeeded()
+        self.assertEqual(limiter.interval, 1.0)
 
 
 class NumbersTest(unittest.TestCase):
@@ -131,7 +131,7 @@
     def setUp(self):
         self.held = HeldLease(OrderNumbers(7), 0.0)
 
-    def test_unanswered_order_is_given_again_as_it_was(self):
+    def test_unanswered_order_is_sent_again_unchanged(self):
         first = self.held.order_for(view("e1", OLD))
         self.assertIs(self.held.order_for(view("e1", OLD)), first)
 
@@ -141,8 +141,8 @@
         changed.wanted.versions = {"3"}
         self.assertNotEqual(self.held.order_for(changed).order, first.order)
 
-    def test_order_that_the_engine_names_has_arrived(self):
-        """Symptom: an engine that fell back is told a former order, and ignores it."""
+    def test_order_reported_by_the_engine_is_not_sent_again(self):
+        """An engine that lost its version needs a new order, as it ignores old ones."""
         first = self.held.order_for(view("e1", OLD))
-        self.held.note_state("e1", EngineState(version="2", order=first.order))
+        self.held.record_state("e1", EngineState(version="2", order=first.order))
         self.assertNotEqual(self.held.order_for(view("e1", OLD)).order, first.order)
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -1,4 +1,4 @@
-"""Orders of real hosts: a new holder takes over from one that is frozen."""
+"""Orders of real hosts: a new lease holder takes over from a frozen one."""
 
 import unittest
 
@@ -18,18 +18,18 @@
 
 
 def lease_holder(dep, names):
-    """Return the host that says that it may act as leader."""
+    """Return the host that reports that it holds the lease."""
     return next(
         (host for host in names if dep.operator(host).status()["fencing_number"]), None
     )
 
 
-def gives_orders(dep, host):
-    """Return whether a host's last look at its lease let it give orders."""
+def sends_orders(dep, host):
+    """Return whether a host's last check of its lease allowed it to send orders."""
     return dep.operator(host).client.get("/v1/admin/orders").json()["holder"]
 
 
-class TakeOverTest(unittest.TestCase):
+class TakeoverTest(unittest.TestCase):
     def declare(self, dep, host, item_version, model_version):
         item = next(item for item in dep.catalogue() if item.name == "clinic")
         changed = msgspec.structs.replace(
@@ -37,13 +37,13 @@
         )
         dep.operator(host).put(changed)
 
-    def test_frozen_holder_changes_nothing_after_it_wakes(self):
-        """Symptom: an engine goes back to a version that was replaced.
+    def test_frozen_holder_changes_nothing_after_it_resumes(self):
+        """A frozen holder must not make an engine go back to a replaced version.
 
-        Sequence: the holder is cut off and frozen for longer than its lease, another
-        host becomes holder and has the engine load the next version, the first one
-        wakes, cut off, with the old catalogue. Cause: nobody can tell it that another
-        one leads; by its own clock alone it must know that its lease is over.
+        The holder is partitioned and frozen for longer than its lease, and another
+        holder has the engine load the next version. The first holder resumes, still
+        partitioned, with the old catalogue. No message can show it that another host
+        leads, so it must detect from its own clock that its lease has ended.
         """
         settings = {"orders": ORDERS | KEEP_ALL_DOWN}
         site = msgspec.structs.replace(_golden_site.layout(), settings=settings)
@@ -54,7 +54,7 @@
         first = wait_until(lambda: lease_holder(dep, voters), "a host leads")
         self.declare(dep, first, 2, "2")
         wait_until(lambda: engine_version(dep, "bkk-good") == "2", "version 2 is up")
-        # Cut off first: what others send meanwhile would tell it all when it wakes.
+        # Partition it first, or messages sent meanwhile would inform it on resume.
         dep.isolate_host(first)
         dep.freeze(first)
         others = [name for name in voters if name != first]
@@ -62,9 +62,7 @@
         self.declare(dep, second, 3, "3")
         wait_until(lambda: engine_version(dep, "bkk-good") == "3", "version 3 is up")
         dep.thaw(first)
-        wait_until(
-            lambda: not gives_orders(dep, first), "the first holder has given up"
-        )
+        wait_until(lambda: not sends_orders(dep, first), "the first holder has stopped")
         self.assertEqual(engine_version(dep, "bkk-good"), "3")
         orders = dep.targets.counts("bkk-good").orders
         versions = [order.version for order in orders]
--- a/tests/test_orders_stale_holder.py
+++ b/tests/test_orders_stale_holder.py
@@ -1,9 +1,8 @@
 """A holder that is frozen between the check of its lease and the write of its order.
 
-Symptom: an engine goes back to a replaced version. Sequence: a host checks its lease
-and is frozen for longer than the lease; another host becomes holder and has the engine
-load version 3; the first one wakes and writes its order for version 2. Cause: nothing
-that a host can check makes the check and the write one act.
+A host checks its lease and is frozen for longer than the lease. Another holder has the
+engine load version 3. The first host resumes and writes its order for version 2, since
+the check and the write can't be atomic. The engine must not stay at version 2.
 """
 
 import sys
@@ -24,13 +23,15 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEADLINE = 30.0
+"""Maximum seconds to wait for a condition or for the end of a process."""
 NEW_LEASE = 6
+"""Number of the new holder's lease."""
 IDLE_TIMEOUT = 1.0
 """Seconds after which the engines close an idle connection."""
 
 
 class FrozenHolder:
-    """The stale holder's process."""
+    """Process of the stale holder."""
 
     def __init__(self, entry, folder):
         path = Path(folder) / "entry.json"
@@ -44,15 +45,15 @@
         stat = Path(f"/proc/{self.process.pid}/stat").read_text()
         return stat.rpartition(")")[2].split()[0] == "T"
 
-    def wake(self):
-        """Let it write its order; return how that ended."""
+    def resume(self):
+        """Resume the process so that it writes its order; return the outcome."""
         self.process.thaw()
         self.process.wait(DEADLINE)
         return self.process.log_tail(1)
 
 
-def take_over(site, then):
-    """Order version 3 as the new holder, call `then`, wait for version 3 again."""
+def run_takeover(site, then):
+    """Order version 3 as the new holder, call `then`, and wait for version 3 again."""
 
     async def main():
         cfg = OrdersSection(
@@ -82,25 +83,25 @@
         (OrderCheck.fenced, "refusal.order_fenced", 600.0),
         (OrderCheck.unfenced, "retry.order_unanswered", IDLE_TIMEOUT),
     )
-    def test_stale_order_does_nothing(self, check, ended, idle_timeout):
-        """A fenced engine refuses it; an unfenced one has closed the connection."""
+    def test_stale_order_is_not_accepted(self, check, outcome, idle_timeout):
+        """A fenced engine refuses the order; others have closed the connection."""
         fields = {"check": check, "idle_timeout": idle_timeout, "slots": 1}
         with tempfile.TemporaryDirectory() as folder, engines(2, **fields) as site:
             stale = FrozenHolder(site.entry("2"), folder)
             self.addCleanup(stale.process.kill)
-            self.assertEqual(take_over(site, stale.wake), ended)
+            self.assertEqual(run_takeover(site, stale.resume), outcome)
             self.assertNotIn("2", versions_taken(site))
 
-    def test_stale_order_that_comes_through_is_mended(self):
-        """An engine that neither checks numbers nor closes idle connections.
+    def test_accepted_stale_order_is_corrected(self):
+        """An engine neither checks fencing numbers nor closes idle connections.
 
-        Nothing keeps the stale order away here. The holder sees the version that the
-        engine reports and orders the wanted one again.
+        It accepts the stale order. The new holder must detect the reported version
+        and order the wanted one again.
         """
         fields = {"check": OrderCheck.unfenced, "idle_timeout": 600.0, "slots": 1}
         with tempfile.TemporaryDirectory() as folder, engines(2, **fields) as site:
             stale = FrozenHolder(site.entry("2"), folder)
             self.addCleanup(stale.process.kill)
-            self.assertEqual(take_over(site, stale.wake), "orders.taken")
+            self.assertEqual(run_takeover(site, stale.resume), "orders.taken")
             self.assertEqual(versions_taken(site).count("2"), 1)
             self.assertEqual(versions_taken(site)[-1], "3")
--- a/tests/test_run_once_random.py
+++ b/tests/test_run_once_random.py
@@ -50,8 +50,8 @@
     def violations(self):
         """Return keys that ran twice, and answers that no run produced."""
         twice = [key for key, hosts in self.ran.items() if len(hosts) > 1]
-        given = {f"{key} by {hosts[0]}" for key, hosts in self.ran.items()}
-        invented = [body for key, body in self.received if body not in given]
+        produced = {f"{key} by {hosts[0]}" for key, hosts in self.ran.items()}
+        invented = [body for key, body in self.received if body not in produced]
         return twice + invented
 
 
