--- a/packages/node/src/bronzepoint_node/membership/_host_table.py
+++ b/packages/node/src/bronzepoint_node/membership/_host_table.py
@@ -154,7 +154,10 @@
         return wanted
 
     def recent_heartbeats(self) -> list[Heartbeat]:
-        """Return the heartbeats that advanced within `suspect_after` seconds."""
+        """Return the heartbeats that advanced within `suspect_after` seconds.
+
+        Heartbeats of failed hosts are not needed by other hosts.
+        """
         horizon = self._clock.now() - self.suspect_after
         return [
             known.pulse
--- a/packages/node/src/bronzepoint_node/membership/_region_reporter.py
+++ b/packages/node/src/bronzepoint_node/membership/_region_reporter.py
@@ -28,7 +28,7 @@
 from bronzepoint_schema.ids import EntryName, HostName, RegionName
 
 REPORTERS_PER_REGION = 2
-"""Number of hosts of a region that report; more than one, since one may fail."""
+"""Hosts of a region that report; two, since one may fail between two reports."""
 LISTED_HOSTS = 6
 """Number of hosts that a region lists to another one for forwarded requests."""
 _SHARE_LIFETIMES = 3
