--- a/tests/_crashing_site.py
+++ b/tests/_crashing_site.py
@@ -160,7 +160,7 @@
             if role == "entry" and self.processes[name].poll() is None
         ]
         if not found:
-            raise AssertionError(f"no entry host lives: {self.told()}")
+            raise AssertionError(f"no entry host lives: {self.diagnostics()}")
         return found
 
     def crashes(self):
--- a/tests/_platform_site.py
+++ b/tests/_platform_site.py
@@ -1,4 +1,4 @@
-"""The users' platform as a stand-in: list, targets, settings files and processes."""
+"""Simulated platform: list of targets, stub targets, settings files and processes."""
 
 import json
 import os
@@ -17,13 +17,17 @@
 from tests._stand_in_target import StandInTarget
 
 ROOT = Path(__file__).resolve().parent.parent
-DEADLINE = 20.0
-START_PATIENCE = 60.0
-"""Seconds in which the processes of a site must have started; no promise is checked by
-it, and beside other work an interpreter alone may take most of a minute to load."""
-MOST_TOLD = 1500
-"""Last characters of a process's log that are shown where a site doesn't start."""
-ONE_OF_EACH = {"core": ("core", "127.0.0.2"), "entry": ("entry", "127.0.0.3")}
+STATE_TIMEOUT = 20.0
+"""Seconds to wait for an expected state."""
+MAX_START_WAIT = 60.0
+"""Seconds to wait for the processes of a site to start.
+
+On a busy machine loading the interpreter alone may take most of a minute. No guarantee
+of the system is tested by this limit.
+"""
+MAX_LOG_EXCERPT = 1500
+"""Number of trailing log characters shown per process if a site doesn't start."""
+DEFAULT_HOSTS = {"core": ("core", "127.0.0.2"), "entry": ("entry", "127.0.0.3")}
 """Role and address of each host, by its name."""
 SETTINGS = """
 node_name = "{name}"
@@ -50,7 +54,7 @@
 
 
 def manifest(version, **changes):
-    """Return a manifest with one route of each kind; ``changes`` go to the first."""
+    """Return a manifest with a route of each kind; ``changes`` apply to the first."""
 
     def route(prefix, kind, **more):
         return {
@@ -79,16 +83,16 @@
 
 
 class PlatformSite:
-    """Hosts of the core and entry hosts, as processes, before some targets.
+    """Core and entry hosts as processes, with stub targets.
 
     Attributes:
-        hosts: Role and address of each host, by its name.
-        regions: Region of a host, where that isn't "x", in which all targets are.
-        keep: The files and logs stay after the end.
-        unread: Hosts whose output is a pipe; the reading end stands here by name.
+        hosts: Role and address of each host by name.
+        regions: Region of each host outside "x", the region of all targets.
+        keep: Whether files and logs are kept after the end.
+        unread: Read end of the output pipe, by name, for hosts whose log isn't read.
     """
 
-    def __init__(self, grace=8.0, targets=2, hosts=ONE_OF_EACH):
+    def __init__(self, grace=8.0, targets=2, hosts=DEFAULT_HOSTS):
         self.hosts = hosts
         self.regions = {}
         self.keep = False
@@ -106,7 +110,7 @@
         port = [int(self.ports.address().rpartition(":")[2]) for _ in range(11)]
         self.metrics = port[10]
         self.first, self.front, self.ready, self.control = port[0], *port[2:5]
-        self.list_server = HttpServer(self._list, HttpLimits())
+        self.list_server = HttpServer(self._answer_list, HttpLimits())
         await self.list_server.start(f"127.0.0.1:{port[5]}")
         self.targets = [
             self.make_target(f"i-{n}", "127.0.0.1", port[5 + n])
@@ -118,20 +122,20 @@
         for name in self.hosts:
             self.start(name, first=True)
         try:
-            await self.until_put(manifest(1), START_PATIENCE)
+            await self.until_put(manifest(1), MAX_START_WAIT)
             await self.until(self._is_ready)
         except AssertionError as exc:
-            told = self.told()
+            diagnostics = self.diagnostics()
             await self.__aexit__()
-            raise AssertionError(f"the site did not start: {told}") from exc
+            raise AssertionError(f"the site did not start: {diagnostics}") from exc
         return self
 
-    def told(self):
-        """Return how each process ended, and what it said last, for a failure."""
+    def diagnostics(self):
+        """Return exit status and last log output of each process, for failures."""
         return {
             name: (
                 process.poll(),
-                (self.root / f"{name}.log").read_text()[-MOST_TOLD:],
+                (self.root / f"{name}.log").read_text()[-MAX_LOG_EXCERPT:],
             )
             for name, process in self.processes.items()
         }
@@ -156,7 +160,12 @@
             shutil.rmtree(self.root)
 
     def start(self, name, first=True):
-        """Start a process; ``first``: the whole system starts for the first time."""
+        """Start a process.
+
+        Args:
+            name: Name of the host.
+            first: Whether the whole system starts for the first time.
+        """
         role, ip = self.hosts[name]
         data = self.root / f"data-{name}"
         data.mkdir(exist_ok=True)
@@ -200,7 +209,7 @@
         return open(write_end, "wb")
 
     def lines(self, role):
-        """Return what a process has logged."""
+        """Return the decoded log lines of a process."""
         lines = (self.root / f"{role}.log").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
@@ -230,15 +239,15 @@
         body = json.dumps(document).encode()
         return await self.control_call("PUT", "/-/config", body, name)
 
-    async def until_put(self, document, patience=DEADLINE):
+    async def until_put(self, document, max_wait=STATE_TIMEOUT):
         async def accepted():
             first = next(iter(self.hosts))
             return (await self.put(document, first)).status == 200
 
-        await self.until(accepted, patience)
+        await self.until(accepted, max_wait)
 
-    async def until(self, condition, patience=DEADLINE):
-        end = monotonic() + patience
+    async def until(self, condition, max_wait=STATE_TIMEOUT):
+        end = monotonic() + max_wait
         while True:
             try:
                 if await condition():
@@ -254,7 +263,7 @@
         address = f"{entry}:{self.ready}"
         return (await self.call("GET", "/-/readiness", address=address)).status == 200
 
-    async def _list(self, exchange):
+    async def _answer_list(self, exchange):
         body = json.dumps({"instances": self.listed, "next_token": None}).encode()
         await exchange.respond(200, {"Content-Type": "application/json"}, body)
 
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -1,4 +1,4 @@
-"""The platform's words, translated at the border."""
+"""Tests of the translation of the platform's headers, manifest and settings."""
 
 import json
 import os
@@ -29,7 +29,7 @@
 
 
 class TestRequestHeads(unittest.TestCase):
-    def test_words_of_a_generation(self):
+    def test_headers_of_a_generation_request(self):
         found = head(
             x_bronzepoint_token_usage="1460,80",
             x_bronzepoint_prompt_prefix="5c:800, 91:410,e4:250",
@@ -50,12 +50,12 @@
         {"x_bronzepoint_token_usage": "many"},
         {"x_bronzepoint_prompt_prefix": "5c:x"},
     )
-    def test_what_can_not_be_read_is_a_bad_request(self, headers):
+    def test_unreadable_header_is_a_bad_request(self, headers):
         with self.assertRaises(BadRequest):
             head(**headers)
 
     @params("kv_from", "x_bronzepoint_kv_hold", "connection", "bronzepoint_forwarded")
-    def test_what_callers_may_not_set_is_dropped(self, name):
+    def test_reserved_headers_of_callers_are_dropped(self, name):
         passed = head(**{name: "x"}).headers
         self.assertNotIn(name.replace("_", "-"), passed)
 
@@ -69,7 +69,7 @@
         (503, {ID: "1", "x-bronzepoint-not-executed": "1"}, TargetVerdict.NOT_RUN),
         (400, {"x-bronzepoint-not-executed": "1"}, TargetVerdict.NOT_RUN),
     )
-    def test_what_an_answer_says(self, status, headers, verdict):
+    def test_answer_is_classified_by_status_and_headers(self, status, headers, verdict):
         self.assertEqual(CODEC.judge(head(), status, headers), verdict)
 
 
@@ -131,7 +131,7 @@
         (Copies(), {}),
         (Copies(fetch_from="10.0.0.2:80"), {"kv-fetch": "10.0.0.2:80"}),
     )
-    def test_only_the_system_says_what_is_copied(self, copies, expected):
+    def test_copy_headers_are_set_by_the_system_only(self, copies, expected):
         caller = head(kv_fetch="10.9.9.9:1", kv_from="10.9.9.9:1/x")
         headers = CODEC.target_headers(caller, 1.0, "i-1", 0, None, copies)
         found = {k: v for k, v in headers.items() if k.startswith("kv-")}
--- a/tests/test_platform_frozen_host.py
+++ b/tests/test_platform_frozen_host.py
@@ -1,4 +1,4 @@
-"""A host that stood still for a while, and what its callers sent meanwhile."""
+"""Tests of a host that is suspended while callers send requests to it."""
 
 import signal
 import socket
@@ -9,8 +9,8 @@
 from tests._platform_site import PlatformSite
 
 CALLERS = 20
-FROZEN = 1.0
-"""Seconds for which the host stands still."""
+SUSPENDED_TIME = 1.0
+"""Seconds for which the host is suspended."""
 
 
 def request(number, body):
@@ -24,16 +24,21 @@
     return "\r\n".join((*head, "", body)).encode()
 
 
-async def ask_and_leave(address, leave):
-    """Ask a host that stands still; return the connections, closed by then or open."""
+async def send_requests(address, close_connections):
+    """Send requests to a suspended host and return the connections.
+
+    Args:
+        address: Address of the host.
+        close_connections: Whether to close the connections before returning.
+    """
     host, _, port = address.rpartition(":")
     conns = []
     for number in range(CALLERS):
         conn = socket.create_connection((host, int(port)), timeout=4.0)
         conn.sendall(request(number, f"body {number}"))
         conns.append(conn)
-    await curio.sleep(FROZEN)
-    if leave:
+    await curio.sleep(SUSPENDED_TIME)
+    if close_connections:
         for conn in conns:
             conn.close()
     return conns
@@ -44,24 +49,24 @@
 
 
 class TestFrozenHost(unittest.TestCase):
-    def _arrivals(self, leave):
-        """Return how many requests reach a target once the host goes on."""
+    def _arrivals(self, close_connections):
+        """Return how many requests reach a target once the host resumes."""
 
         async def main():
             async with PlatformSite() as site:
                 address = f"127.0.0.3:{site.front}"
-                # From here on connections to the targets are open.
+                # Opens the connections to the targets.
                 for number in range(8):
                     await site.ask("/safe/a", f"warm-{number}")
                 before = arrivals(site)
                 site.signal("entry", signal.SIGSTOP)
-                conns = await ask_and_leave(address, leave)
+                conns = await send_requests(address, close_connections)
                 site.signal("entry", signal.SIGCONT)
 
                 async def all_arrived():
                     return arrivals(site) - before == CALLERS
 
-                if leave:
+                if close_connections:
                     await curio.sleep(1.0)
                 else:
                     await site.until(all_arrived)
@@ -71,12 +76,15 @@
 
         return curio.run(main)
 
-    def test_requests_of_callers_that_left_reach_no_target(self):
-        """Guards against work for callers that left while the host stood still."""
-        self.assertEqual(self._arrivals(leave=True), 0)
+    def test_requests_of_disconnected_callers_reach_no_target(self):
+        """Guards against running requests whose callers closed their connections.
+
+        They did so while the host was suspended with the requests unread.
+        """
+        self.assertEqual(self._arrivals(close_connections=True), 0)
 
-    def test_requests_of_callers_that_wait_are_served(self):
-        self.assertEqual(self._arrivals(leave=False), CALLERS)
+    def test_requests_of_waiting_callers_are_served(self):
+        self.assertEqual(self._arrivals(close_connections=False), CALLERS)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_lagging_host.py
+++ b/tests/test_platform_lagging_host.py
@@ -1,4 +1,4 @@
-"""A host that doesn't keep up is named to callers no more, until it does again."""
+"""Tests that the directory leaves out an overloaded host until it has recovered."""
 
 import json
 import signal
@@ -14,13 +14,13 @@
     "entry2": ("entry", "127.0.0.4"),
     "entry3": ("entry", "127.0.0.5"),
 }
-SLOW = "entry2"
-STOPPED, RUNNING = 0.6, 0.1
-"""Seconds for which the slow host stands still, and runs, by turns."""
+SLOW_HOST = "entry2"
+SUSPENDED_TIME, RUNNING_TIME = 0.6, 0.1
+"""Seconds for which the slow host is alternately suspended and running."""
 
 
-async def named(site):
-    """Return the addresses that the directory names."""
+async def directory_addresses(site):
+    """Return the addresses in the directory's answer; empty if it gives none."""
     answer = await site.control_call("GET", "/-/lookup?name=h.example&region=x")
     if answer.status != 200:
         return set()
@@ -28,34 +28,35 @@
 
 
 async def slow_down(site):
-    """Let a host have a part of the processor only."""
+    """Suspend the slow host most of the time."""
     while True:
-        site.signal(SLOW, signal.SIGSTOP)
-        await curio.sleep(STOPPED)
-        site.signal(SLOW, signal.SIGCONT)
-        await curio.sleep(RUNNING)
+        site.signal(SLOW_HOST, signal.SIGSTOP)
+        await curio.sleep(SUSPENDED_TIME)
+        site.signal(SLOW_HOST, signal.SIGCONT)
+        await curio.sleep(RUNNING_TIME)
 
 
 class TestLaggingHost(unittest.TestCase):
-    def test_callers_are_named_the_hosts_that_keep_up(self):
-        """Guards against callers that are held by a host without a processor."""
+    def test_directory_leaves_out_overloaded_host(self):
+        """Guards against sending callers to a host that gets too little CPU time."""
 
         async def main():
             async with PlatformSite(hosts=HOSTS) as site:
-                slow = f"{HOSTS[SLOW][1]}:{site.front}"
+                slow = f"{HOSTS[SLOW_HOST][1]}:{site.front}"
 
-                async def names_slow_host(expected):
-                    found = await named(site)
+                async def slow_host_is_listed(expected):
+                    found = await directory_addresses(site)
                     return bool(found) and (slow in found) is expected
 
-                await site.until(lambda: names_slow_host(True))
+                await site.until(lambda: slow_host_is_listed(True))
                 slowing = await curio.spawn(slow_down, site)
-                await site.until(lambda: names_slow_host(False))
-                # Silent for long it would not be named either: it must say so itself.
-                lines = [line["message"] for line in site.lines(SLOW)]
+                await site.until(lambda: slow_host_is_listed(False))
+                # An unresponsive host is left out too, so check that the slow host has
+                # reported the lag itself.
+                lines = [line["message"] for line in site.lines(SLOW_HOST)]
                 await slowing.cancel()
-                site.signal(SLOW, signal.SIGCONT)
-                await site.until(lambda: names_slow_host(True))
+                site.signal(SLOW_HOST, signal.SIGCONT)
+                await site.until(lambda: slow_host_is_listed(True))
                 return lines
 
         self.assertIn("lags", curio.run(main))
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -1,4 +1,4 @@
-"""The platform's list and reports, read entry by entry."""
+"""Tests of reading the platform's list of targets and the engines' load reports."""
 
 import json
 import unittest
@@ -28,14 +28,14 @@
 
 
 def entry(name="i-1", **changes):
-    """Return an entry; a change to None takes the field away."""
+    """Return a list entry; a change to None removes the field."""
     listed = StandInTarget(name, "10.0.0.1", 80).listed()
     fields = {**listed, "stage": "both", "models": [{"name": "m"}], **changes}
     return {key: value for key, value in fields.items() if value is not None}
 
 
 def page(*entries, token=None):
-    """Return a page's bytes; an entry of bytes stands in it as it is."""
+    """Return an encoded page; entries of type bytes are inserted unchanged."""
     parts = [e if isinstance(e, bytes) else json.dumps(e).encode() for e in entries]
     end = b'],"next_token":%s}' % json.dumps(token).encode()
     return b'{"instances":[' + b",".join(parts) + end
@@ -45,7 +45,7 @@
     return [instance.id for instance in found.instances]
 
 
-DAMAGED = (
+INVALID_ENTRIES = (
     *(entry(**{key: None}) for key in ("id", "service", "address", "zone")),
     *(entry(**{key: None}) for key in ("slots", "state", "cold_left_ms")),
     entry(id=7),
@@ -63,7 +63,7 @@
     [],
     "i-1",
     b'{"id":"\xff\xfe"}',
-    # no whole value: the page is no document any more
+    # The following ones make the whole page invalid JSON.
     b'{"id":"i-1","service":',
     b"{]",
     b'{"id":"i-1","slots":\x01}',
@@ -72,27 +72,27 @@
 
 
 class TestPages(unittest.TestCase):
-    @params(*DAMAGED)
-    def test_damaged_entry_harms_no_other(self, damaged):
-        """Symptom: after one entry of another writer, targets that have ended still
-        get requests, and new ones get none.
-        Sequence: an entry lacks a field; the page isn't decoded; the list of before
-        stays in force.
-        Cause: a page was decoded at once."""
-        for whole in ([], [entry("i-2")], [entry("i-2"), entry("i-3")]):
-            expected = [e["id"] for e in whole]
-            for at in range(len(whole) + 1):
-                entries = [*whole[:at], damaged, *whole[at:]]
+    @params(*INVALID_ENTRIES)
+    def test_invalid_entry_does_not_affect_others(self, invalid):
+        """Guards against a single invalid entry that makes the whole list unreadable.
+
+        If the page is decoded as a whole, an entry without some field keeps the former
+        list in effect: ended targets still get requests, and new ones get none.
+        """
+        for valid in ([], [entry("i-2")], [entry("i-2"), entry("i-3")]):
+            expected = [e["id"] for e in valid]
+            for at in range(len(valid) + 1):
+                entries = [*valid[:at], invalid, *valid[at:]]
                 found = read_page(page(*entries, token="p-5"))
                 self.assertEqual((names(found), found.next_token), (expected, "p-5"))
 
-    @given(st.lists(st.none() | st.sampled_from(DAMAGED), max_size=8))
+    @given(st.lists(st.none() | st.sampled_from(INVALID_ENTRIES), max_size=8))
     def test_any_page_gives_exactly_its_whole_entries(self, drawn):
         entries = [
-            entry(f"i-{number}") if damaged is None else damaged
-            for number, damaged in enumerate(drawn)
+            entry(f"i-{number}") if invalid is None else invalid
+            for number, invalid in enumerate(drawn)
         ]
-        expected = [f"i-{n}" for n, damaged in enumerate(drawn) if damaged is None]
+        expected = [f"i-{n}" for n, invalid in enumerate(drawn) if invalid is None]
         self.assertEqual(names(read_page(page(*entries))), expected)
 
     @given(st.binary(max_size=60))
@@ -104,14 +104,14 @@
         else:
             self.assertEqual(found.instances, [])
 
-    def test_what_is_wrong_is_named(self):
+    def test_reason_names_the_invalid_field(self):
         (found,) = read_page(page(entry(slots="6"))).unreadable
         self.assertIn("slots", found.reason)
         self.assertIn("i-1", found.text)
 
 
-class Answering:
-    """A server that gives the same answer to all."""
+class FixedAnswerServer:
+    """A server that gives the same answer to every request."""
 
     def __init__(self, body, status=200):
         self.body, self.status = body, status
@@ -138,7 +138,7 @@
     @params(
         (({"id": "i-1"},), ["i-1"]),
         (({"id": "i-1", "born": 5},), ["i-1~5"]),
-        # it has crashed and is listed still, beside its new start
+        # The target has crashed and is still listed, next to its new start.
         (({"id": "i-1", "born": 5}, {"id": "i-1", "born": 9}), ["i-1~9"]),
         (({"id": "i-1", "born": 9}, {"id": "i-1", "born": 5}), ["i-1~9"]),
         (({"id": "i-1", "born": 5}, {"id": "i-2", "born": 5}), ["i-1~5", "i-2~5"]),
@@ -146,15 +146,17 @@
     def test_each_start_is_a_target_of_its_own(self, changes, expected):
         async def main():
             body = page(*(entry(**change) for change in changes))
-            async with Answering(body) as server:
+            async with FixedAnswerServer(body) as server:
                 return await ListClient(server.client, server.address).read()
 
         found = curio.run(main)
         self.assertEqual([target.incarnation for target in found], expected)
 
-    def test_damaged_entry_is_logged_once(self):
+    def test_invalid_entry_is_logged_once(self):
         async def main():
-            async with Answering(page(entry(state="odd"), entry("i-2"))) as server:
+            async with FixedAnswerServer(
+                page(entry(state="odd"), entry("i-2"))
+            ) as server:
                 reader = ListClient(server.client, server.address)
                 for _ in range(3):
                     await reader.read()
@@ -180,17 +182,17 @@
         ("i-1~5", {"running": 1}, ReportUnreadable),
         ("i-1~5", [], ReportUnreadable),
     )
-    def test_of_which_start(self, incarnation, body, expected):
+    def test_report_is_checked_for_restarts(self, incarnation, body, expected):
         found = self._read(incarnation, json.dumps(body).encode(), 200)
         self.assertEqual(found, expected)
 
     @params(503, 404)
-    def test_refused_question(self, status):
+    def test_error_status(self, status):
         self.assertEqual(self._read("i-1", b"{}", status), ReportUnavailable)
 
     def _read(self, incarnation, body, status):
         async def main():
-            async with Answering(body, status) as server:
+            async with FixedAnswerServer(body, status) as server:
                 reports = ReportClient(server.client)
                 return await reports.read(server.address, incarnation)
 
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,4 +1,4 @@
-"""The programs on the users' platform: real processes before stand-in targets."""
+"""Tests of the platform's programs as real processes with stub targets."""
 
 import json
 import signal
@@ -12,7 +12,7 @@
 
 
 def on_site(test):
-    """Run a test's coroutine on a running site."""
+    """Decorate a test coroutine to run with a started site."""
 
     def run(self, *arguments):
         async def main():
@@ -38,8 +38,10 @@
         ("reset", "/once/a", 502, b"no whole answer\n", 1),
         ("serve", "/nowhere/a", 404, b"no such route\n", 0),
     )
-    def test_what_is_sent_once(self, action, path, status, body, arrivals):
-        """What may have run, and may not run twice, is sent to no second target."""
+    def test_non_repeatable_request_is_sent_once(
+        self, action, path, status, body, arrivals
+    ):
+        """Guards against repeating a request that may have run and isn't repeatable."""
 
         async def main():
             async with PlatformSite() as site:
@@ -61,7 +63,7 @@
         ("break", "/stream/a", 200, events(1, 5)),
         ("full", "/stream/a", 200, events(1, 5)),
     )
-    def test_the_other_target_answers(self, action, path, status, body):
+    def test_another_target_answers(self, action, path, status, body):
         async def main():
             async with PlatformSite() as site:
                 bad, good = site.targets
@@ -76,10 +78,12 @@
 
     @params(("crash", "whole", 3), ("break", "cut", 2))
     def test_targets_that_ended_do_not_count_as_attempts(self, action, end, arrivals):
-        """Symptom: a stream that may go on elsewhere is cut for good.
-        Sequence: its target crashes, then the second one; the route allows two.
-        Cause: both counted, though neither works on it any more. Targets that live
-        and only broke off do count."""
+        """Guards against giving up a stream that another target could resume.
+
+        Two targets crash in turn, and the route allows two attempts. Crashed targets
+        must not count, since neither still runs the request. Live targets that only
+        broke the connection do count.
+        """
 
         async def main():
             async with PlatformSite(targets=3) as site:
@@ -96,7 +100,7 @@
         self.assertEqual(curio.run(main), (end, arrivals))
 
     @on_site
-    async def test_headers_that_are_the_system_s_to_set_are_not_passed_on(self, site):
+    async def test_reserved_headers_are_not_passed_on(self, site):
         await site.ask(
             "/safe/a",
             **{"Kv-From": "1.2.3.4:5/6", "X-Bronzepoint-Pin-Ms": "9", "X-Own": "kept"},
@@ -109,13 +113,13 @@
         self.assertLess(int(request.headers["x-bronzepoint-deadline-ms"]), 4000)
 
     @on_site
-    async def test_a_caller_that_leaves_ends_the_target_s_work(self, site):
+    async def test_disconnected_caller_ends_the_run_on_the_target(self, site):
         for target in site.targets:
             target.script = ["hang"]
         task = await curio.spawn(site.ask, "/once/a")
-        await site.until(lambda: _any(t.seen for t in site.targets))
+        await site.until(lambda: any_of(t.seen for t in site.targets))
         await task.cancel()
-        await site.until(lambda: _any(t.cut for t in site.targets))
+        await site.until(lambda: any_of(t.cut for t in site.targets))
 
     @on_site
     async def test_deadline_is_answered_in_time_and_not_as_a_refusal(self, site):
@@ -128,24 +132,26 @@
 
     @on_site
     async def test_stream_that_breaks_past_its_deadline_has_one_line(self, site):
-        """Symptom: a request has two lines on one host, with two outcomes.
-        Sequence: a stream flows past its deadline, and breaks before the overtime ends.
-        Cause: what had been given up already was given up once more as late."""
+        """Guards against two log lines with two outcomes for one request.
+
+        A stream runs past its deadline and breaks before the overtime ends. It was
+        given up a second time, as late.
+        """
         for target in site.targets:
             target.script = ["break_late"]
         try:
             await site.ask("/stream/a", deadline_ms=700)
         except HttpError:
             pass
-        await site.until(lambda: _any(_lines_of(site, "id-1")))
+        await site.until(lambda: any_of(request_lines(site, "id-1")))
         await curio.sleep(0.5)
-        self.assertEqual(len(_lines_of(site, "id-1")), 1)
+        self.assertEqual(len(request_lines(site, "id-1")), 1)
 
     @on_site
-    async def test_leaving_targets_get_nothing_new(self, site):
+    async def test_draining_targets_get_no_new_requests(self, site):
         first, second = site.targets
         site.listed = [first.listed("draining"), second.listed()]
-        await site.until(lambda: _logged(site, "target leaves"))
+        await site.until(lambda: is_logged(site, "target leaves"))
         for number in range(8):
             await site.ask("/safe/a", f"id-{number}")
         self.assertEqual((len(first.seen), len(second.seen)), (0, 8))
@@ -168,16 +174,16 @@
         async def main():
             async with PlatformSite() as site:
                 refused = await site.control_call("PUT", "/-/config", content)
-                held = await site.control_call("GET", "/-/config")
-                return refused, held
+                stored = await site.control_call("GET", "/-/config")
+                return refused, stored
 
-        refused, held = curio.run(main)
+        refused, stored = curio.run(main)
         self.assertEqual(refused.status, 400)
         self.assertIn(word, refused.body.decode())
-        self.assertEqual(json.loads(held.body), manifest(1))
+        self.assertEqual(json.loads(stored.body), manifest(1))
 
     @on_site
-    async def test_change_is_in_force_and_survives_a_kill_of_everything(self, site):
+    async def test_change_takes_effect_and_survives_a_kill_of_all_hosts(self, site):
         await site.until_put(manifest(5, path_prefix="/new/"))
 
         async def served():
@@ -191,11 +197,11 @@
         for role in ("core", "entry"):
             site.start(role)
         await site.until(served)
-        held = await site.control_call("GET", "/-/config")
-        self.assertEqual(json.loads(held.body)["version"], 5)
+        stored = await site.control_call("GET", "/-/config")
+        self.assertEqual(json.loads(stored.body)["version"], 5)
 
     @on_site
-    async def test_evacuated_data_center_gets_nothing_until_taken_back(self, site):
+    async def test_evacuated_data_center_gets_no_requests_until_reopened(self, site):
         await site.control_call("POST", "/-/evacuations/x-a")
 
         async def refused():
@@ -214,7 +220,7 @@
         await site.until(served)
 
     @on_site
-    async def test_directory_names_the_hosts_that_are_ready(self, site):
+    async def test_directory_lists_ready_hosts(self, site):
         path = "/-/lookup?name=h.example&region=y&zone=y-a"
 
         async def named():
@@ -234,11 +240,11 @@
 
 class TestSignals(unittest.TestCase):
     @on_site
-    async def test_sigterm_cuts_no_request_in_progress(self, site):
+    async def test_sigterm_aborts_no_request_in_progress(self, site):
         for target in site.targets:
             target.script = ["slow"]
         task = await curio.spawn(site.ask, "/safe/a")
-        await site.until(lambda: _any(t.seen for t in site.targets))
+        await site.until(lambda: any_of(t.seen for t in site.targets))
         site.signal("entry")
         answer = await task.join()
         self.assertEqual((answer.status, answer.body), (200, b"slow"))
@@ -247,23 +253,24 @@
 
     @params("core", "entry")
     def test_sighup_leaves_the_program_running(self, role):
-        """Symptom: processes end after a SIGHUP.
-        Sequence: the platform changes the settings and sends SIGHUP; the program reads
-        them and waits for the next signal.
-        Cause: a task was put into a second task group, which curio refuses."""
+        """Guards against a process that exits on SIGHUP.
+
+        After reloading the settings, the program waits for the next signal. It added a
+        task to a second task group for that, which curio refuses.
+        """
 
         async def main():
             async with PlatformSite() as site:
                 for _ in range(2):
                     site.signal(role, signal.SIGHUP)
                     await curio.sleep(0.2)
-                await site.until(lambda: _logged(site, "settings read again", role))
+                await site.until(lambda: is_logged(site, "settings read again", role))
                 return site.processes[role].poll(), (await site.ask("/safe/a")).status
 
         self.assertEqual(curio.run(main), (None, 200))
 
     @on_site
-    async def test_metrics_and_lines_tell_of_each_outcome(self, site):
+    async def test_metrics_and_log_report_each_outcome(self, site):
         await site.ask("/safe/a", "id-7")
         (line,) = [x for x in site.lines("entry") if x.get("request") == "id-7"]
         self.assertEqual((line["outcome"], line["sends"]), ("answered_200", 1))
@@ -271,15 +278,15 @@
         self.assertIn("bronzepoint_outcome_answered_200 ", page.body.decode())
 
 
-async def _any(values):
+async def any_of(values):
     return any(values)
 
 
-def _lines_of(site, request_id):
+def request_lines(site, request_id):
     return [x for x in site.lines("entry") if x.get("request") == request_id]
 
 
-async def _logged(site, message, role="entry"):
+async def is_logged(site, message, role="entry"):
     return any(line["message"] == message for line in site.lines(role))
 
 
--- a/tests/test_platform_reachable.py
+++ b/tests/test_platform_reachable.py
@@ -1,4 +1,4 @@
-"""The bound of what a day's targets can earn."""
+"""Tests of the upper bound of the worth that a day's targets can earn."""
 
 import importlib.util
 import unittest
@@ -14,8 +14,8 @@
 Kind, Region = reachable.Kind, reachable.Region
 
 
-def site(rate=10.0, faults=(), homes=(), engines=(1, 1)):
-    """Two regions with an engine each that serves five requests a second."""
+def site(rate=10.0, faults=(), home_regions=(), engines=(1, 1)):
+    """Return a site of two regions; each engine serves five requests per second."""
     llm = {
         "batch": 10,
         "step_ms": 10.0,
@@ -27,7 +27,7 @@
         "worth": 2.0,
         "service": "s",
         "stream": {"prompt_tokens": {"mean": 1000}, "pieces": {"mean": 100}},
-        "homes": list(homes),
+        "homes": list(home_regions),
     }
     servers = [
         {"zone": zone, "count": count}
@@ -50,17 +50,17 @@
 
 class TestRows(unittest.TestCase):
     @params(
-        # requests a second, homes, engines, the part that can be earned
+        # requests per second, home regions, engines per region, earned fraction
         (5.0, (), (1, 0), 1.0),
         (10.0, (), (1, 0), 0.5),
         (10.0, (), (1, 1), 1.0),
         (10.0, ("x",), (1, 1), 0.5),
         (20.0, (), (1, 1), 0.5),
     )
-    def test_engines_and_homes_bound_what_is_earned(
-        self, rate, homes, engines, expected
+    def test_engines_and_home_regions_limit_earned_worth(
+        self, rate, home_regions, engines, expected
     ):
-        found = reachable.Site(site(rate, (), homes, engines), "d")
+        found = reachable.Site(site(rate, (), home_regions, engines), "d")
         parts = [row.reachable for row in found.rows()]
         self.assertEqual([round(part, 3) for part in parts], [expected] * 3)
 
@@ -71,21 +71,26 @@
         ({"kind": "scale_in", "at": 4.0, "share": 0.5}, [1.0, 1.0, 0.5]),
         ({"kind": "disk_slow", "at": 2.0, "for_s": 2.0}, [1.0, 1.0, 1.0]),
     )
-    def test_targets_that_are_gone_earn_nothing(self, fault, expected):
+    def test_lost_targets_earn_nothing(self, fault, expected):
         found = reachable.Site(site(faults=[fault]), "d")
         parts = [round(row.reachable, 3) for row in found.rows()]
         self.assertEqual(parts, expected)
 
 
 class TestFill(unittest.TestCase):
-    def test_what_earns_most_for_its_time_goes_first(self):
+    def test_most_valuable_requests_are_served_first(self):
         kinds = [Kind("long", 3.0, 300.0, ()), Kind("short", 2.0, 100.0, ())]
         regions = [Region("x", {"long": 2.0, "short": 2.0}, 500.0)]
-        self.assertEqual(reachable.fill(regions, kinds), 2 * 2.0 + 3.0)
+        self.assertEqual(
+            reachable.serve_most_valuable_first(regions, kinds), 2 * 2.0 + 3.0
+        )
 
     def test_plain_requests_need_no_engine(self):
         regions = [Region("x", {"plain": 3.0}, 0.0)]
-        self.assertEqual(reachable.fill(regions, [Kind("plain", 1.0, 0.0, ())]), 3.0)
+        self.assertEqual(
+            reachable.serve_most_valuable_first(regions, [Kind("plain", 1.0, 0.0, ())]),
+            3.0,
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_scheduler.py
+++ b/tests/test_platform_scheduler.py
@@ -1,4 +1,7 @@
-"""A region of many entry hosts, as processes: a host of the core schedules for them."""
+"""Tests of a region of many entry hosts that a core host schedules for.
+
+All hosts are real processes.
+"""
 
 import signal
 import unittest
@@ -9,11 +12,11 @@
 
 CORE = ("core", "127.0.0.2")
 ENTRIES = [(f"entry{n}", f"127.0.0.{n}") for n in range(3, 10)]
-"""Seven: one more than tell each other directly."""
+"""Seven entry hosts: one more than report their loads to each other directly."""
 HOSTS = {"core": CORE, **{name: ("entry", ip) for name, ip in ENTRIES}}
 
 
-async def ask(site, ip, number):
+async def send_request(site, ip, number):
     """Send one request to an entry host; return the status of its answer."""
     headers = {
         "X-Bronzepoint-Request-Id": f"{ip}-{number}",
@@ -24,12 +27,12 @@
     return answer.status
 
 
-async def ask_all(site, number):
-    return [await ask(site, ip, number) for _, ip in ENTRIES]
+async def send_to_all(site, number):
+    return [await send_request(site, ip, number) for _, ip in ENTRIES]
 
 
-def tries(site, number):
-    """Return what each entry host has logged of one round of requests."""
+def first_tries(site, number):
+    """Return the first try that each entry host logged for one round of requests."""
     return [
         line["tries"][0]
         for name, ip in ENTRIES
@@ -38,8 +41,8 @@
     ]
 
 
-def known(site, number):
-    """Return how old each host's line says that what it went by may have been."""
+def logged_staleness(site, number):
+    """Return the staleness in ms that each host logged for one round of requests."""
     return [
         line["known_ms"]
         for name, ip in ENTRIES
@@ -50,30 +53,40 @@
 
 class TestRegionOfManyHosts(unittest.TestCase):
     def test_host_of_the_core_schedules_and_may_die(self):
-        """Symptom: a region stands still, or its targets are overrun, with one host.
-        Sequence: seven entry hosts ask the scheduler; it is killed, and started anew.
-        Cause: all choices depend on it."""
+        """Guards against a scheduler that is a single point of failure.
+
+        Seven entry hosts query the scheduler, which is killed and restarted. Requests
+        must be served meanwhile, and scheduled by it again afterwards.
+        """
 
         async def main():
             async with PlatformSite(hosts=HOSTS) as site:
-                followed = [await _follows(site, name) for name, _ in ENTRIES]
-                before = await ask_all(site, 1)
+                collectors = [await load_collector(site, name) for name, _ in ENTRIES]
+                before = await send_to_all(site, 1)
                 site.signal("core", signal.SIGKILL)
-                during = await ask_all(site, 2) + await ask_all(site, 3)
+                during = await send_to_all(site, 2) + await send_to_all(site, 3)
                 site.processes["core"].wait()
                 site.start("core", first=False)
 
                 async def scheduled():
                     rounds = next(numbers)
-                    await ask_all(site, rounds)
-                    return all("asked 127.0.0.2" in t for t in tries(site, rounds))
+                    await send_to_all(site, rounds)
+                    return all(
+                        "asked 127.0.0.2" in t for t in first_tries(site, rounds)
+                    )
 
                 numbers = iter(range(4, 400))
                 await site.until(scheduled)
-                return followed, before, during, tries(site, 1), known(site, 1)
-
-        followed, before, during, first, ages = curio.run(main)
-        self.assertEqual(followed, ["127.0.0.2"] * 7)
+                return (
+                    collectors,
+                    before,
+                    during,
+                    first_tries(site, 1),
+                    logged_staleness(site, 1),
+                )
+
+        collectors, before, during, first, ages = curio.run(main)
+        self.assertEqual(collectors, ["127.0.0.2"] * 7)
         self.assertEqual(before, [200] * 7)
         self.assertEqual(during, [200] * 14)
         self.assertEqual(len(first), 7)
@@ -83,8 +96,8 @@
             self.assertNotIn("own choice", note)
 
 
-async def _follows(site, name):
-    """Return whom a host follows, once all seven know of one another."""
+async def load_collector(site, name):
+    """Return the load collector of a host, once the host has chosen one."""
 
     async def decided():
         return any(x["message"] == "collector of loads" for x in site.lines(name))
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""Random faults on the platform's programs break no promise."""
+"""Soak test: random faults on the platform's programs break no guarantee."""
 
 import unittest
 
@@ -13,13 +13,14 @@
 class TestSoak(unittest.TestCase):
     @params((1, 0), (2, 1700))
     def test_no_promise_is_broken(self, seed, routes):
-        """Symptom: what no single test thought of.
-        Sequence: hosts are killed, paused, ended and wiped, and targets fail, in an
-        order that the seed decides, while callers ask and an operator changes the
-        catalogue.
-        Cause: open; the message says which promise broke."""
+        """Guards against faults that no other test covers.
+
+        Hosts are killed, suspended, terminated and wiped, and targets fail, in an order
+        given by the seed, while callers send requests and an operator changes the
+        catalogue. The failure message says which guarantee was broken.
+        """
         found = curio.run(PlatformSoak(seed, SECONDS, routes).run)
-        self.assertEqual(found.broken, [], found.logs)
+        self.assertEqual(found.violations, [], found.logs)
         self.assertGreater(found.served, 0)
         self.assertGreater(found.accepted, 1)
 
--- a/tests/test_platform_unread_log.py
+++ b/tests/test_platform_unread_log.py
@@ -1,4 +1,4 @@
-"""A host whose log nobody reads goes on serving."""
+"""Tests that a host keeps serving while its log output isn't read."""
 
 import unittest
 
@@ -7,12 +7,12 @@
 from tests._platform_site import PlatformSite
 
 REQUESTS = 250
-"""Enough for their lines to fill a pipe of 64 KB."""
+"""Number of requests whose log lines fill a pipe buffer of 64 KB."""
 
 
 class TestUnreadLog(unittest.TestCase):
-    def test_host_serves_on_while_nobody_reads_its_log(self):
-        """Guards against an event loop that waits for the reader of a log."""
+    def test_host_keeps_serving_while_its_log_is_not_read(self):
+        """Guards against an event loop that blocks on writing to a full log pipe."""
 
         async def main():
             site = PlatformSite()
--- a/tests/test_quarantine_processes.py
+++ b/tests/test_quarantine_processes.py
@@ -19,7 +19,7 @@
     Callers,
     CrashingSite,
 )
-from tests._platform_site import START_PATIENCE
+from tests._platform_site import MAX_START_WAIT
 
 KNOWN = 1.0
 """Seconds after a crash in which all hosts have heard of it."""
@@ -68,7 +68,7 @@
             await callers.ask(site.addresses()[0], path, POISON)
         return False
 
-    await site.until(is_held, START_PATIENCE)
+    await site.until(is_held, MAX_START_WAIT)
 
 
 class TestQueryOfDeath(unittest.TestCase):
