--- a/packages/cli/src/bronzepoint_cli/__main__.py
+++ b/packages/cli/src/bronzepoint_cli/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: run the app and turn errors into exit codes."""
+"""Entry point: runs the app and translates errors into exit codes."""
 
 import sys
 
@@ -14,8 +14,8 @@
         print(f"bronzepoint: {exc}", file=sys.stderr)
         sys.exit(exc.code)
     except BrokenPipeError:
-        # The reader of a pipe, such as head, has enough; Python would complain again
-        # when it flushes the output at exit.
+        # The reader of the pipe, such as head, has closed it. Without this, Python
+        # reports another error when it flushes the output at exit.
         sys.stdout = None
         sys.exit(0)
 
--- a/packages/cli/src/bronzepoint_cli/_app.py
+++ b/packages/cli/src/bronzepoint_cli/_app.py
@@ -1,4 +1,4 @@
-"""The app: options of the connection, and all commands."""
+"""The Typer app with the connection options and all commands."""
 
 from importlib.metadata import version
 from pathlib import Path
--- a/packages/cli/src/bronzepoint_cli/_chat.py
+++ b/packages/cli/src/bronzepoint_cli/_chat.py
@@ -1,4 +1,4 @@
-"""One model call with a streamed answer."""
+"""A model call with a streamed answer."""
 
 import msgspec
 
@@ -9,23 +9,23 @@
     TargetError,
 )
 from bronzepoint_cli._event_stream import END, EventStream
-from bronzepoint_cli._gateway import ELSEWHERE, Gateway, Purpose, read_refusal
+from bronzepoint_cli._gateway import RETRYABLE_REFUSALS, Gateway, Purpose, read_refusal
 from bronzepoint_cli._output import print_origin
 from bronzepoint_common.http import Answer, ClientAnswer, HttpError
 
 PATH = "/v1/chat/completions"
 MAX_ERROR_TEXT = 500
-"""Characters of a target's own error that are shown."""
+"""Maximum number of characters shown of an error sent by a target."""
 
 
 class Delta(msgspec.Struct):
-    """New text of a chunk."""
+    """Text added by a chunk."""
 
     content: str | None = None
 
 
 class Choice(msgspec.Struct):
-    """One choice of a chunk; only the first is asked for."""
+    """One choice of a chunk; only the first one is used."""
 
     delta: Delta = msgspec.field(default_factory=Delta)
 
@@ -37,7 +37,7 @@
 
 
 def chat_body(entry: str, prompt: str, max_tokens: int) -> bytes:
-    """Return the body of a chat completion that is streamed."""
+    """Return the request body of a streamed chat completion."""
     return msgspec.json.encode(
         {
             "model": entry,
@@ -49,13 +49,13 @@
 
 
 class ChatCall:
-    """A prompt whose answer is printed while it comes.
+    """A chat request whose answer is printed while it arrives.
 
     Args:
         entry: Catalogue entry.
         prompt: Text of the only message.
-        max_tokens: Most tokens to generate.
-        headers: Headers besides the token.
+        max_tokens: Maximum number of tokens to generate.
+        headers: Additional request headers, without the token.
     """
 
     def __init__(
@@ -66,40 +66,40 @@
         self._printed = False
 
     async def run(self, gateway: Gateway) -> None:
-        """Ask one host after another until one begins to answer.
+        """Try one host after another until one starts to answer.
 
         Raises:
-            AnswerIncomplete: The answer broke off after a part was printed; another
-                answer would not go on where this one ended.
+            AnswerIncomplete: The answer was truncated after a part was printed. It
+                isn't retried, as another answer would not continue this one.
         """
         await gateway.follow_directory()
         try:
-            await self._ask_each(gateway)
+            await self._try_each_host(gateway)
         finally:
             if self._printed:
                 print(flush=True)
 
-    async def _ask_each(self, gateway: Gateway) -> None:
+    async def _try_each_host(self, gateway: Gateway) -> None:
         headers = gateway.headers() | self._headers
         refused: RefusedByHost | None = None
         problems: list[str] = []
         for address in gateway.hosts:
             try:
-                await self._ask(gateway, address, headers)
+                await self._try_host(gateway, address, headers)
                 return
             except HttpError as exc:
                 if self._printed:
                     raise AnswerIncomplete(str(exc)) from exc
                 problems.append(str(exc))
             except RefusedByHost as exc:
-                if exc.refusal.kind not in ELSEWHERE:
+                if exc.refusal.kind not in RETRYABLE_REFUSALS:
                     raise
                 refused = exc
         if refused is not None:
             raise refused
         raise NoHostReachable(problems)
 
-    async def _ask(
+    async def _try_host(
         self, gateway: Gateway, address: str, headers: dict[str, str]
     ) -> None:
         timeout = max(gateway.remaining(), 1.0)
--- a/packages/cli/src/bronzepoint_cli/_errors.py
+++ b/packages/cli/src/bronzepoint_cli/_errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command, with their exit codes."""
+"""Errors that end a command, and their exit codes."""
 
 from enum import IntEnum
 
@@ -6,17 +6,17 @@
 
 
 class ExitCode(IntEnum):
-    """What a script can tell from the exit status."""
+    """Exit status of a command."""
 
     OK = 0
     FAILED = 1
-    """A host answered, and refused; or the checked thing has faults."""
+    """A host refused the request, or the checked file has faults."""
     USAGE = 2
     """The command line, the client file or an input file is wrong."""
     UNREACHABLE = 3
-    """No host could be reached, or none gave a whole answer."""
+    """No host could be reached, or none gave a complete answer."""
     INTERRUPTED = 130
-    """Ended by Ctrl-C, as shells have it."""
+    """Ended by Ctrl-C; shells use this status too."""
 
 
 class CliError(Exception):
@@ -26,17 +26,17 @@
 
 
 class UsageFault(CliError):
-    """Something that was typed or stands in a file is wrong."""
+    """The command line or an input file is invalid."""
 
     code = ExitCode.USAGE
 
 
 class NoHostReachable(CliError):
-    """No host of the list gave an answer.
+    """None of the hosts answered.
 
     Args:
-        problems: What happened at each host that was tried.
-        advice: What to do, where checking the hosts is not all.
+        problems: The failure at each host that was tried.
+        advice: What the user should do; empty for the default advice.
     """
 
     code = ExitCode.UNREACHABLE
@@ -49,24 +49,23 @@
 
 
 class RefusedByHost(CliError):
-    """A host refused.
+    """A host refused the request.
 
     Args:
-        refusal: Its reason.
-        question: True: the host was only asked something, so that there is nothing
-            that might have run.
-        advice: How to send it again, where it is not known whether it ran.
+        refusal: The host's refusal.
+        is_query: Whether the request only read data, so that nothing can have run.
+        advice: How to resend the request if it is unknown whether it ran.
     """
 
     def __init__(
-        self, refusal: Refusal, question: bool = False, advice: str = ""
+        self, refusal: Refusal, is_query: bool = False, advice: str = ""
     ) -> None:
         self.refusal = refusal
-        super().__init__(_describe(refusal, question, advice))
+        super().__init__(_describe(refusal, is_query, advice))
 
 
 class AnswerUnreadable(CliError):
-    """A host answered what this version does not understand."""
+    """A host's answer can't be decoded by this version."""
 
     def __init__(self, address: str, detail: str) -> None:
         super().__init__(
@@ -76,7 +75,7 @@
 
 
 class Interrupted(CliError):
-    """Ended by Ctrl-C while a request was on its way."""
+    """Ended by Ctrl-C while a request was in flight."""
 
     code = ExitCode.INTERRUPTED
 
@@ -85,11 +84,11 @@
 
 
 class TargetError(CliError):
-    """The target itself answered with an error."""
+    """The target answered with an error."""
 
 
 class AnswerIncomplete(CliError):
-    """A streamed answer ended before its end."""
+    """A streamed answer was truncated."""
 
     code = ExitCode.UNREACHABLE
 
@@ -97,10 +96,10 @@
         super().__init__(f"the answer is not whole ({detail}); don't rely on it")
 
 
-def _describe(refusal: Refusal, question: bool, advice: str) -> str:
+def _describe(refusal: Refusal, is_query: bool, advice: str) -> str:
     lines = [f"refused ({refusal.kind}): {refusal.message}", f"  {refusal.remedy}"]
     match refusal.ran:
-        case _ if question:
+        case _ if is_query:
             pass
         case Ran.no:
             lines.append("  the request did not run")
@@ -109,7 +108,7 @@
             lines += [f"  {advice}"] if advice else []
     if refusal.retry_after > 0:
         lines.append(f"  another try makes sense in {refusal.retry_after:g} s")
-    if refusal.request_id and not question:
+    if refusal.request_id and not is_query:
         lines.append(f"  reasons: bronzepoint why {refusal.request_id}")
     return "\n".join(lines)
 
--- a/packages/cli/src/bronzepoint_cli/_event_stream.py
+++ b/packages/cli/src/bronzepoint_cli/_event_stream.py
@@ -1,21 +1,22 @@
-"""Read ``text/event-stream`` as far as chat completions use it."""
+"""Parser for the part of ``text/event-stream`` that chat completions use."""
 
 from collections.abc import Iterator
 
 END = "[DONE]"
-"""Data of the last event of a whole answer."""
+"""Data of the last event of a complete answer."""
 
 DATA = b"data:"
+"""Prefix of the lines that hold an event's data."""
 
 
 class EventStream:
-    """Splits the bytes of an answer into the data of its events."""
+    """Splits the bytes of an answer into event data."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, chunk: bytes) -> Iterator[str]:
-        """Yield the data of each event that this chunk completes."""
+        """Yield the data of each event completed by this chunk."""
         *events, self._buffer = (self._buffer + chunk).split(b"\n\n")
         for event in events:
             lines = (line.strip() for line in event.splitlines())
--- a/packages/cli/src/bronzepoint_cli/_gateway.py
+++ b/packages/cli/src/bronzepoint_cli/_gateway.py
@@ -1,4 +1,4 @@
-"""Requests to the hosts, with another host tried where one can't answer."""
+"""Client of the gateway's hosts, with failover to other hosts."""
 
 import time
 from enum import Enum, auto
@@ -17,20 +17,21 @@
 T = TypeVar("T")
 
 CONNECT_TIMEOUT = 2.0
+"""Seconds to connect to a host."""
 TRY_TIMEOUT = 10.0
 """Seconds for one try at one host."""
-MAX_ANSWER = 64 * 1024 * 1024
-"""Bytes: a catalogue of thousands of items comes in one answer."""
-SHORTEST_WAIT = 0.2
-"""Seconds between two rounds over the hosts where none says how long to wait."""
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+"""Maximum size of an answer in bytes; a whole catalogue comes in one answer."""
+MIN_ROUND_WAIT = 0.2
+"""Minimum seconds between two rounds over the hosts."""
 
 REFUSAL_HEADER = "bronzepoint-refusal"
-"""Stands in a host's refusals; a target's own error has none."""
+"""Header of refusals by a host; errors passed on from a target lack it."""
 
-READING = frozenset({"GET", "HEAD", "OPTIONS"})
-"""Methods that change nothing, so they carry no idempotency key."""
+SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
+"""Methods that change nothing, so that they need no idempotency key."""
 
-ELSEWHERE = frozenset(
+RETRYABLE_REFUSALS = frozenset(
     {
         RefusalKind.draining,
         RefusalKind.not_ready,
@@ -40,39 +41,39 @@
         RefusalKind.run_in_progress,
     }
 )
-"""Refusals that another host, or the same one later, may not give."""
+"""Refusals to retry, at another host or later at the same one."""
 
 
 class Purpose(Enum):
-    """What a request is for, which says what its refusal means."""
+    """Kind of a request, which determines how its refusal is reported."""
 
-    question = auto()
-    """Reads something of a host; nothing can have run."""
+    query = auto()
+    """Reads data from a host; nothing can have run."""
     change = auto()
-    """Changes something of the system."""
+    """Changes the state of the system."""
     call = auto()
-    """Goes on to a target; an error may be the target's own."""
+    """Is passed on to a target; an error may come from the target."""
 
 
 class Gateway:
-    """The hosts of one system, seen from outside.
+    """Client of the hosts of one system.
 
-    Every request sent through here may be sent again: reading, a change with its
-    change id, or a call with its idempotency key. So a lost answer is no reason to
-    stop: the same bytes go to the next host.
+    Every request sent by this class is safe to repeat: reads, changes with a change id,
+    and calls with an idempotency key. If an answer is lost, the same request is sent to
+    the next host.
 
     Args:
-        profile: Hosts, token and time.
+        profile: Hosts, token and timeout.
 
     Attributes:
-        advice: How to send the request that is on its way again; empty: there is none,
-            or sending it again needs no care.
+        advice: How to resend the request in flight; empty if there is none, or if it
+            can simply be repeated.
     """
 
     def __init__(self, profile: Profile) -> None:
         self.profile = profile.require()
         self.advice = ""
-        limits = HttpLimits(max_body=MAX_ANSWER)
+        limits = HttpLimits(max_body=MAX_ANSWER_BYTES)
         self.http = HttpClient(limits, CONNECT_TIMEOUT)
         self._hosts = list(profile.hosts)
         self._deadline = time.monotonic() + profile.timeout
@@ -83,20 +84,20 @@
 
     @property
     def hosts(self) -> list[str]:
-        """Addresses in the order in which they are tried."""
+        """Addresses of the hosts in the order in which they are tried."""
         return self._hosts
 
     def prefer(self, addresses: list[str]) -> None:
-        """Try these hosts first, then those of the profile."""
+        """Try these hosts first, then the other hosts of the profile."""
         rest = [address for address in self.profile.hosts if address not in addresses]
         self._hosts = [*addresses, *rest]
 
-    def only(self, address: str) -> None:
+    def use_only(self, address: str) -> None:
         """Use this host and no other."""
         self._hosts = [address]
 
     def headers(self, **extra: str) -> dict[str, str]:
-        """Return the headers that each request carries, and some more."""
+        """Return the headers of every request, plus the given ones."""
         headers = {"Authorization": f"Bearer {self.profile.token}"}
         return headers | {name.replace("_", "-"): text for name, text in extra.items()}
 
@@ -105,26 +106,26 @@
         return max(self._deadline - time.monotonic(), 0.0)
 
     async def get(self, path: str, answer_type: type[T]) -> T:
-        """Read something from the first host that answers."""
+        """Read a resource from the first host that answers."""
         headers = self.headers()
-        answer = await self.send("GET", path, headers, b"", Purpose.question)
+        answer = await self.send("GET", path, headers, b"", Purpose.query)
         return decode(answer, answer_type)
 
     async def get_from(self, address: str, path: str, answer_type: type[T]) -> T:
-        """Read something from one host, and no other.
+        """Read a resource from one particular host.
 
         Raises:
-            HttpError: It gave no whole answer.
-            RefusedByHost: It refused.
+            HttpError: The host gave no complete answer.
+            RefusedByHost: The host refused the request.
         """
         answer = await self._try(address, "GET", path, self.headers(), b"")
-        refused = read_refusal(address, answer, Purpose.question)
+        refused = read_refusal(address, answer, Purpose.query)
         if refused is not None:
             raise refused
         return decode(answer, answer_type)
 
     async def follow_directory(self) -> DirectoryAnswer:
-        """Ask which hosts to use, and try these from then on."""
+        """Read the directory and try its hosts first from now on."""
         directory = await self.get("/v1/hosts", DirectoryAnswer)
         self.prefer([host.address for host in directory.hosts])
         return directory
@@ -132,7 +133,7 @@
     async def post(
         self, path: str, body: bytes, answer_type: type[T], advice: str = ""
     ) -> T:
-        """Send something that may be sent again until a host has answered it."""
+        """Send a repeatable change until a host has answered it."""
         headers = self.headers(Content_Type="application/json")
         answer = await self.send("POST", path, headers, body, Purpose.change, advice)
         return decode(answer, answer_type)
@@ -146,21 +147,20 @@
         purpose: Purpose,
         advice: str = "",
     ) -> Answer:
-        """Send to one host after another until one accepts.
+        """Send a request to one host after another until one accepts it.
 
         Args:
             method: HTTP method.
-            path: Path, with the query.
+            path: Path, including the query.
             headers: All headers.
-            body: Whole body.
-            purpose: What the request is for.
-            advice: How to send it again in another run of the command; shown where its
-                outcome stays unknown.
+            body: Complete body.
+            purpose: Kind of the request.
+            advice: How to resend the request in another run of the command; shown if
+                its outcome remains unknown.
 
         Raises:
-            RefusedByHost: A refusal that no other host would lift, or that was still
-                given when the time ran out.
-            NoHostReachable: No host gave a whole answer in time.
+            RefusedByHost: The refusal isn't worth a retry, or the time ran out.
+            NoHostReachable: No host gave a complete answer in time.
         """
         self.advice = advice
         while True:
@@ -175,13 +175,13 @@
                 if refused is None:
                     self.advice = ""
                     return answer
-                if refused.refusal.kind not in ELSEWHERE:
+                if refused.refusal.kind not in RETRYABLE_REFUSALS:
                     raise refused
                 refusal = refused
-            # A read that fails is soon typed again; a change whose answer was lost
-            # should not be left unknown while there is time.
-            patient = method != "GET"
-            await self._wait(refusal, problems, patient)
+            # Users can easily repeat a failed read. The outcome of a change whose
+            # answer was lost should be found out while there is time.
+            retry = method != "GET"
+            await self._wait(refusal, problems, retry)
 
     async def _try(
         self,
@@ -191,16 +191,16 @@
         headers: dict[str, str],
         body: bytes,
     ) -> Answer:
-        timeout = min(TRY_TIMEOUT, max(self.remaining(), SHORTEST_WAIT))
+        timeout = min(TRY_TIMEOUT, max(self.remaining(), MIN_ROUND_WAIT))
         return await self.http.fetch(address, method, path, headers, body, timeout)
 
     async def _wait(
-        self, refused: RefusedByHost | None, problems: list[str], patient: bool
+        self, refused: RefusedByHost | None, problems: list[str], retry: bool
     ) -> None:
-        """Wait until another round makes sense; raise where there is no time for it."""
+        """Wait before the next round; raise if there is no time for another one."""
         pause = refused.refusal.retry_after if refused else 0.0
-        pause = max(pause, SHORTEST_WAIT)
-        if patient and pause < self.remaining():
+        pause = max(pause, MIN_ROUND_WAIT)
+        if retry and pause < self.remaining():
             await curio.sleep(pause)
             return
         if refused:
@@ -211,12 +211,12 @@
 def read_refusal(
     address: str, answer: Answer, purpose: Purpose, advice: str = ""
 ) -> RefusedByHost | None:
-    """Return the refusal of an answer; None where it is none.
+    """Return the refusal in an answer, or None if it isn't a refusal.
 
-    An error of a call that is no refusal is the target's own answer.
+    Errors of a call without the refusal header come from the target.
 
     Raises:
-        AnswerUnreadable: An error without a reason that can be read.
+        AnswerUnreadable: The body of the refusal can't be decoded.
     """
     if answer.status < 400:
         return None
@@ -226,14 +226,14 @@
         body = msgspec.json.decode(answer.body, type=ErrorBody)
     except msgspec.DecodeError as exc:
         raise AnswerUnreadable(address, f"status {answer.status}, {exc}") from exc
-    return RefusedByHost(body.error, purpose is Purpose.question, advice)
+    return RefusedByHost(body.error, purpose is Purpose.query, advice)
 
 
 def decode(answer: Answer, answer_type: type[T]) -> T:
-    """Read the body of an answer.
+    """Decode the body of an answer.
 
     Raises:
-        AnswerUnreadable: It is of another type.
+        AnswerUnreadable: The body isn't of the given type.
     """
     try:
         return msgspec.json.decode(answer.body, type=answer_type)
@@ -242,7 +242,7 @@
 
 
 def path_part(text: str) -> str:
-    """Return a text as one part of a path."""
+    """Return the text quoted for use as a single path segment."""
     return quote(text, safe="")
 
 
--- a/packages/cli/src/bronzepoint_cli/_options.py
+++ b/packages/cli/src/bronzepoint_cli/_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Options shared by several commands."""
 
 from typing import Annotated
 
--- a/packages/cli/src/bronzepoint_cli/_output.py
+++ b/packages/cli/src/bronzepoint_cli/_output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for scripts."""
+"""Output of tables for people and JSON for scripts."""
 
 import sys
 from collections.abc import Iterable
@@ -9,10 +9,10 @@
 from rich.table import Table
 
 PIPE_WIDTH = 200
-"""Columns where the output is no terminal: wide, so that no cell is cut."""
+"""Width in columns if the output is no terminal, wide enough not to truncate cells."""
 
-WHOLE_FROM = 100
-"""Numbers from here on are shown without a fraction."""
+MIN_WITHOUT_DECIMALS = 100
+"""Smallest absolute value that is shown without decimals."""
 
 
 def console() -> Console:
@@ -28,7 +28,7 @@
 
 
 def print_table(columns: Iterable[str], rows: Iterable[Iterable[object]]) -> None:
-    """Print rows under headings; numbers stand at the right."""
+    """Print rows under column headings; numeric columns are right-aligned."""
     rows = [list(row) for row in rows]
     table = Table(box=None, pad_edge=False, header_style="bold")
     for index, column in enumerate(columns):
@@ -38,8 +38,8 @@
         table.add_column(column, justify=justify, overflow="fold")
     for row in rows:
         table.add_row(*(_cell(value) for value in row))
-    # rich pads each line to the width of its columns; scripts and golden files don't
-    # want the blanks.
+    # rich pads each line to the full width; strip the trailing spaces for scripts and
+    # golden files.
     with (screen := console()).capture() as captured:
         screen.print(table)
     for line in captured.get().splitlines():
@@ -47,7 +47,7 @@
 
 
 def print_origin(headers: dict[str, str]) -> None:
-    """Print who answered, on standard error so that the answer stays alone."""
+    """Print which host answered, on standard error to keep standard output clean."""
     host = headers.get("bronzepoint-host", "?")
     region = headers.get("bronzepoint-region", "?")
     request_id = headers.get("bronzepoint-request-id", "?")
@@ -59,7 +59,9 @@
         case bool():
             return "yes" if value else "no"
         case float():
-            return f"{value:.0f}" if abs(value) >= WHOLE_FROM else f"{value:.3g}"
+            return (
+                f"{value:.0f}" if abs(value) >= MIN_WITHOUT_DECIMALS else f"{value:.3g}"
+            )
         case None:
             return ""
         case _:
--- a/packages/cli/src/bronzepoint_cli/_profile.py
+++ b/packages/cli/src/bronzepoint_cli/_profile.py
@@ -1,4 +1,4 @@
-"""Which hosts to use and as whom: options, environment or a client file."""
+"""Connection settings from options, the environment or a client file."""
 
 import configparser
 from pathlib import Path
@@ -10,18 +10,18 @@
 
 SECTION = "client"
 DEFAULT_TIMEOUT = 30.0
-"""Seconds for a whole command, its tries at other hosts included."""
+"""Seconds for a whole command, including tries at other hosts."""
 
 
 class Profile(msgspec.Struct):
-    """Connection of one command."""
+    """Connection settings of one command; `timeout` is in seconds."""
 
     hosts: list[str] = msgspec.field(default_factory=list)
     token: str = ""
     timeout: float = DEFAULT_TIMEOUT
 
     def require(self) -> "Profile":
-        """Return self where hosts and token are known.
+        """Check that hosts and token are given, and return self.
 
         Raises:
             UsageFault: One of them is missing or malformed.
@@ -47,10 +47,10 @@
 def load_profile(
     hosts: str, token: str, timeout: float | None, client_file: Path | None
 ) -> Profile:
-    """Join options and client file; options go first.
+    """Combine options and client file; options take precedence.
 
     Raises:
-        UsageFault: The client file is missing or has faults.
+        UsageFault: The client file is missing or invalid.
     """
     values = _read_client_file(client_file) if client_file else {}
     hosts = hosts or values.get("hosts", "")
--- a/packages/cli/src/bronzepoint_cli/_running.py
+++ b/packages/cli/src/bronzepoint_cli/_running.py
@@ -1,4 +1,4 @@
-"""Run the asynchronous part of a command."""
+"""Runs the asynchronous part of a command."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -16,10 +16,11 @@
 def run_with_gateway(
     context: typer.Context, act: Callable[[Gateway], Awaitable[T]]
 ) -> T:
-    """Run `act` with the gateway of this command, and close it afterwards.
+    """Run `act` with the gateway of this command, and close the gateway afterwards.
 
     Raises:
-        Interrupted: By Ctrl-C; the message says how to send again what was on its way.
+        Interrupted: Ctrl-C was pressed; the message says how to resend the request in
+            flight.
     """
 
     profile: Profile = context.obj
--- a/packages/cli/src/bronzepoint_cli/commands/catalogue.py
+++ b/packages/cli/src/bronzepoint_cli/commands/catalogue.py
@@ -1,4 +1,4 @@
-"""``bronzepoint catalogue``: what is served, and its limits."""
+"""``bronzepoint catalogue``: show and change the catalogue."""
 
 import sys
 from collections import Counter
@@ -35,10 +35,11 @@
 )
 
 STANDARD_INPUT = Path("-")
+"""File argument that stands for standard input."""
 
 
 class Applied(msgspec.Struct):
-    """What became of one item."""
+    """Result of applying one item."""
 
     kind: ItemKind
     name: str
@@ -60,10 +61,10 @@
 ) -> None:
     """Put items into the catalogue: one JSON object or a list of them.
 
-    An item with a version of 0, or with none, gets the next one after its present
-    version, and is left alone where nothing in it differs. An item that states its
-    version is applied only where that is the next one: of two operators who apply the
-    same version, one gets an error that names the other.
+    An item without a version, or with version 0, gets the version after the current
+    one; it is skipped if its content hasn't changed. An item with a version is applied
+    only if that is the next version: if two operators apply the same version, one of
+    them gets an error that names the other.
 
     Example: bronzepoint catalogue apply entries.json
     """
@@ -126,14 +127,14 @@
     name: Annotated[str, typer.Argument(help="Name of the item.")],
     version: Annotated[
         int,
-        typer.Option(help="Version to remove as; 0: the one after the present."),
+        typer.Option(help="Version of the removal; 0 for the next version."),
     ] = 0,
     change_id: Annotated[
         str, typer.Option(help="Id of an earlier try whose answer was lost.")
     ] = "",
     json: JsonOption = False,
 ) -> None:
-    """Remove an item; its requests are refused from then on.
+    """Remove an item; requests for it are refused from then on.
 
     Example: bronzepoint catalogue remove model phrasebook
     """
@@ -160,17 +161,18 @@
 
 
 def read_items(file: Path) -> list[CatalogueItem]:
-    """Read the items of a file.
+    """Read items from a file.
 
     Raises:
-        UsageFault: It can't be read, is no JSON, has a fault, or names an item twice.
+        UsageFault: The file can't be read, is no valid JSON, contains an invalid item,
+            or the same item twice.
     """
     try:
         data = sys.stdin.buffer.read() if file == STANDARD_INPUT else file.read_bytes()
     except OSError as exc:
         raise UsageFault(f"{file} can't be read ({exc.strerror})") from None
     try:
-        # A union of one item and a list of them would not name the place of a fault.
+        # Decoding a union of item and list would not report where a fault is.
         if data.lstrip()[:1] == b"{":
             items = [msgspec.json.decode(data, type=CatalogueItem)]
         else:
@@ -201,11 +203,11 @@
 
 
 async def send_change(gateway: Gateway, change: Change) -> Accepted:
-    """Send a change until it is answered; its id makes sure it is applied once.
+    """Send a change until it is answered; its id ensures that it is applied once.
 
     Raises:
-        CliError: Refused, or the outcome is not known; then the message says how to
-            ask again.
+        CliError: The change was refused, or its outcome is unknown; in that case the
+            message says how to resend it.
     """
     body = msgspec.json.encode(change)
     advice = f"apply again with --change-id {change.change_id}: it can't apply twice"
@@ -213,7 +215,7 @@
 
 
 def new_change_id() -> str:
-    """Return a UUIDv7, by whose time part hosts know how old a change is."""
+    """Return a UUIDv7; hosts read the age of the change from its timestamp."""
     return str(uuid_utils.uuid7())
 
 
--- a/packages/cli/src/bronzepoint_cli/commands/cluster.py
+++ b/packages/cli/src/bronzepoint_cli/commands/cluster.py
@@ -1,4 +1,4 @@
-"""``bronzepoint cluster``: form the cluster and see its state."""
+"""``bronzepoint cluster``: form the cluster and show its state."""
 
 from typing import Annotated
 
@@ -32,16 +32,16 @@
     "IN PROGRESS",
 )
 LEADER = "leader"
-"""Role of the host that hears from all voters."""
+"""Role of the host whose answer lists the states of all voters."""
 
 VOTER_COLUMNS = ("VOTER", "DISK", "LOG INDEX", "HEARD")
 
 
 @app.command("init")
 def init(context: typer.Context, json: JsonOption = False) -> None:
-    """Form the cluster of the voters in the settings; to be run once.
+    """Form the cluster from the voters in the settings.
 
-    Running it again changes nothing.
+    Run this once; running it again changes nothing.
 
     Example: bronzepoint --hosts 10.0.0.1:8080 cluster init
     """
@@ -58,22 +58,23 @@
 @app.command("status")
 def status(
     context: typer.Context,
-    each: Annotated[
+    query_all: Annotated[
         bool, typer.Option("--each", help="Ask each host of --hosts, not only one.")
     ] = False,
     json: JsonOption = False,
 ) -> None:
-    """Show what hosts say of themselves and of the agreement.
+    """Show the state of hosts and of the agreement, as reported by the hosts.
 
-    IN BOUND says whether the host can know that no newer catalogue is in force.
+    IN BOUND says whether the host has confirmed its catalogue so recently that no newer
+    one can be in effect.
 
     Example: bronzepoint cluster status --each
     """
 
     async def act(gateway: Gateway) -> tuple[list[StatusAnswer], list[str]]:
-        if not each:
+        if not query_all:
             return [await gateway.get("/v1/admin/status", StatusAnswer)], []
-        return await ask_each(gateway)
+        return await query_each_host(gateway)
 
     answers, problems = run_with_gateway(context, act)
     if json:
@@ -86,8 +87,8 @@
         raise error
 
 
-async def ask_each(gateway: Gateway) -> tuple[list[StatusAnswer], list[str]]:
-    """Ask every host of the profile; return answers, and problems of the others."""
+async def query_each_host(gateway: Gateway) -> tuple[list[StatusAnswer], list[str]]:
+    """Query every host of the profile; return the answers and the failures."""
     answers, problems = [], []
     for address in gateway.profile.hosts:
         try:
@@ -101,7 +102,7 @@
 
 
 def print_statuses(answers: list[StatusAnswer]) -> None:
-    """Print the hosts, then the voters as the leader sees them, then failures."""
+    """Print the hosts, the voters as seen by the leader, and failures of hosts."""
     print_table(COLUMNS, map(status_row, answers))
     for answer in answers:
         if answer.role == LEADER:
@@ -113,14 +114,14 @@
 
 
 def voter_row(voter: VoterState) -> tuple[object, ...]:
-    """Return the row of one voter; its order is that of VOTER_COLUMNS."""
-    heard = f"{voter.silent:.1f} s ago" if voter.silent >= 0 else "never"
-    lost = voter.found not in ("", voter.storage)
-    return voter.host, "lost" if lost else "same", voter.index, heard
+    """Return the table row of a voter, in the order of VOTER_COLUMNS."""
+    last_contact = f"{voter.silent:.1f} s ago" if voter.silent >= 0 else "never"
+    storage_changed = voter.found not in ("", voter.storage)
+    return voter.host, "lost" if storage_changed else "same", voter.index, last_contact
 
 
 def status_row(answer: StatusAnswer) -> tuple[object, ...]:
-    """Return the row of one host; its order is that of COLUMNS."""
+    """Return the table row of a host, in the order of COLUMNS."""
     known = answer.confirmed_age >= 0
     return (
         answer.host,
--- a/packages/cli/src/bronzepoint_cli/commands/config.py
+++ b/packages/cli/src/bronzepoint_cli/commands/config.py
@@ -1,4 +1,4 @@
-"""``bronzepoint config``: check settings before a host uses them."""
+"""``bronzepoint config``: check the settings file of a host."""
 
 from pathlib import Path
 from typing import Annotated
@@ -16,7 +16,7 @@
 
 
 class SettingsFaults(CliError):
-    """The file has faults; they were printed."""
+    """The settings file has faults, which were printed."""
 
 
 @app.command("check")
@@ -24,7 +24,7 @@
     file: Annotated[Path, typer.Argument(help="INI file of bronzepointd.")],
     json: JsonOption = False,
 ) -> None:
-    """Check the settings of a host; no host needs to run.
+    """Check the settings of a host, without contacting any host.
 
     Example: bronzepoint config check /etc/bronzepoint/host.ini
     """
--- a/packages/cli/src/bronzepoint_cli/commands/counters.py
+++ b/packages/cli/src/bronzepoint_cli/commands/counters.py
@@ -1,4 +1,4 @@
-"""``bronzepoint counters``: what one host has counted."""
+"""``bronzepoint counters``: show the metrics of one host."""
 
 from typing import Annotated
 
@@ -13,7 +13,7 @@
 def counters(
     context: typer.Context,
     prefix: Annotated[
-        str, typer.Argument(help="Only names that start so, such as refusal.")
+        str, typer.Argument(help="Only names with this prefix, such as refusal.")
     ] = "",
     json: JsonOption = False,
 ) -> None:
--- a/packages/cli/src/bronzepoint_cli/commands/hosts.py
+++ b/packages/cli/src/bronzepoint_cli/commands/hosts.py
@@ -1,4 +1,4 @@
-"""``bronzepoint hosts`` and ``bronzepoint drain``."""
+"""``bronzepoint hosts`` and ``bronzepoint drain``: show and drain hosts."""
 
 from typing import Annotated
 
@@ -24,10 +24,10 @@
 
 
 def hosts(context: typer.Context, json: JsonOption = False) -> None:
-    """Show the hosts that the answering host knows.
+    """Show the hosts known to the answering host.
 
-    Of other regions a host knows less: load, catalogue revision and whether a host
-    keeps run-once records are shown for its own region only.
+    Load, catalogue revision and whether a host stores run-once records are shown only
+    for the region of the answering host, as they aren't known for other regions.
 
     Example: bronzepoint hosts --json
     """
@@ -45,7 +45,12 @@
 
 
 def _host_row(host: HostStatus, detailed: bool) -> tuple[object, ...]:
-    """Return one row; what a host knows only of its own region is left out else."""
+    """Return the table row of a host.
+
+    Args:
+        host: Status of the host.
+        detailed: Whether to include the values known only within a region.
+    """
     row = (host.name, host.region, host.data_center, host.http, host.state)
     if not detailed:
         return (*row, "", "", "")
@@ -57,7 +62,7 @@
     host: Annotated[str, typer.Argument(help="Name of the host.")],
     json: JsonOption = False,
 ) -> None:
-    """Tell a host to take no new callers; requests in progress are finished.
+    """Make a host refuse new requests and finish those in progress.
 
     The host keeps running; end its process with SIGTERM when it has drained.
 
@@ -70,7 +75,7 @@
         if host not in known:
             names = ", ".join(sorted(known))
             raise CliError(f"{answer.host} knows no host {host!r}; it knows {names}")
-        gateway.only(known[host])
+        gateway.use_only(known[host])
         path = f"/v1/admin/drain/{path_part(host)}"
         return await gateway.post(path, b"{}", DrainAnswer)
 
--- a/packages/cli/src/bronzepoint_cli/commands/load.py
+++ b/packages/cli/src/bronzepoint_cli/commands/load.py
@@ -1,4 +1,4 @@
-"""``bronzepoint load``: a bounded load, and the latencies that a caller sees."""
+"""``bronzepoint load``: generate load and measure the latencies seen by a caller."""
 
 import sys
 import time
@@ -13,7 +13,7 @@
 from bronzepoint_cli._chat import PATH as CHAT_PATH
 from bronzepoint_cli._chat import chat_body
 from bronzepoint_cli._errors import CliError, Interrupted, UsageFault
-from bronzepoint_cli._gateway import READING, Gateway, path_part
+from bronzepoint_cli._gateway import SAFE_METHODS, Gateway, path_part
 from bronzepoint_cli._options import JsonOption
 from bronzepoint_cli._output import print_json, print_table
 from bronzepoint_cli._running import run_with_gateway
@@ -32,7 +32,7 @@
 
 
 class LatencyRow(msgspec.Struct):
-    """One measured time; all in milliseconds."""
+    """Distribution of one measured latency in milliseconds."""
 
     name: str
     count: int
@@ -41,7 +41,7 @@
 
 
 class LoadReport(msgspec.Struct):
-    """What `--json` prints."""
+    """Results of a load run, as printed with `--json`."""
 
     sent: int
     seconds: float
@@ -53,7 +53,7 @@
 
 
 class NothingAnswered(CliError):
-    """Not one request of the load was answered."""
+    """None of the requests was answered."""
 
 
 def load(
@@ -63,17 +63,19 @@
         str, typer.Argument(help="Prompt; for a service, the body to send.")
     ] = "Where is the pharmacy?",
     rate: Annotated[
-        float, typer.Option(min=0.01, max=10_000, help="Requests a second.")
+        float, typer.Option(min=0.01, max=10_000, help="Requests per second.")
     ] = 5.0,
     duration: Annotated[
-        float, typer.Option(min=0.1, max=3600, help="Seconds to send for.")
+        float,
+        typer.Option(min=0.1, max=3600, help="Seconds during which requests are sent."),
     ] = 10.0,
-    seed: Annotated[int, typer.Option(help="Same seed, same arrivals.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the arrival times.")] = 1,
     in_progress: Annotated[
-        int, typer.Option(min=1, max=10_000, help="Most requests at once.")
+        int,
+        typer.Option(min=1, max=10_000, help="Maximum number of requests in progress."),
     ] = 100,
     max_tokens: Annotated[
-        int, typer.Option(min=1, help="Most tokens to generate for each.")
+        int, typer.Option(min=1, help="Maximum number of tokens per answer.")
     ] = 64,
     path: Annotated[
         str, typer.Option(help="Path of a plain service, such as /phrases.")
@@ -81,36 +83,36 @@
     method: Annotated[str, typer.Option(help="Method for a plain service.")] = "GET",
     json: JsonOption = False,
 ) -> None:
-    """Send requests at random moments, and show what a caller sees.
+    """Send requests at random times, and show the latencies seen by a caller.
 
-    Times run from the moment a request was due, so that a slow answer can't hide the
-    waiting of those behind it. The requests go in turn to the hosts of the region that
-    the directory names first.
+    Latencies are measured from the scheduled time of a request, so that a slow answer
+    can't hide the waiting time of later requests. Requests are sent round robin to the
+    hosts of the first region in the directory.
 
     Example: bronzepoint load phrasebook --rate 20 --duration 30
     """
     if path and not path.startswith("/"):
         raise UsageFault(f"--path {path!r} must begin with /")
-    maker = CallMaker(entry, text, max_tokens, path, method.upper())
+    call_maker = CallMaker(entry, text, max_tokens, path, method.upper())
     times = list(arrival_times(rate, duration, seed))
     limits = LoadLimits(in_progress=in_progress)
 
     result = LoadResult()
 
     async def act(gateway: Gateway) -> None:
-        hosts = _nearest_hosts(await gateway.follow_directory())
+        hosts = _first_region_hosts(await gateway.follow_directory())
         token = gateway.profile.token
         engine = Load(gateway.http, hosts or gateway.hosts, token, limits)
         engine.result = result
         with LoadProgress(len(times)) as progress:
-            await engine.run(times, maker.make, progress.show)
+            await engine.run(times, call_maker.make, progress.show)
 
     show = print_json if json else print_report
     began = time.monotonic()
     try:
         run_with_gateway(context, act)
     except Interrupted:
-        # What was measured until then is worth seeing.
+        # Show the results measured so far.
         result.seconds = time.monotonic() - began
         show(report_of(result))
         raise
@@ -119,13 +121,13 @@
         raise NothingAnswered("not one request was answered; see the outcomes above")
 
 
-def _nearest_hosts(directory: DirectoryAnswer) -> list[str]:
+def _first_region_hosts(directory: DirectoryAnswer) -> list[str]:
     regions = {host.region for host in directory.hosts[:1]}
     return [host.address for host in directory.hosts if host.region in regions]
 
 
 class CallMaker:
-    """Makes the calls of a load, all alike but for their keys."""
+    """Creates the calls of a load run, which only differ in their idempotency keys."""
 
     def __init__(
         self, entry: str, text: str, max_tokens: int, path: str, method: str
@@ -134,13 +136,13 @@
         self._method = method if path else "POST"
         self._path = f"/v1/services/{path_part(entry)}{path}" if path else CHAT_PATH
         self._body = text.encode() if path else chat_body(entry, text, max_tokens)
-        if path and method in READING:
+        if path and method in SAFE_METHODS:
             self._body = b""
 
     def make(self, number: int) -> LoadCall:
-        """Return the call of a number."""
+        """Return the call with the given number."""
         headers = {"Content-Type": "application/json"}
-        changes = self._service and self._method not in READING
+        changes = self._service and self._method not in SAFE_METHODS
         if changes:
             headers["idempotency-key"] = str(uuid_utils.uuid7())
         return LoadCall(
@@ -154,7 +156,7 @@
 
 
 class LoadProgress:
-    """A bar on standard error, where that is a terminal."""
+    """Progress bar on standard error; hidden if that is no terminal."""
 
     def __init__(self, total: int) -> None:
         self._progress = Progress(
@@ -176,13 +178,13 @@
         self._progress.stop()
 
     def show(self, result: LoadResult) -> None:
-        """Show how far the load is."""
+        """Update the progress bar."""
         refused = result.outcomes[OutcomeKind.refused]
         self._progress.update(self._task, completed=result.sent, refused=refused)
 
 
 def report_of(result: LoadResult) -> LoadReport:
-    """Return the figures of a result."""
+    """Return the report of a load run."""
     return LoadReport(
         result.sent,
         round(result.seconds, 3),
@@ -199,19 +201,19 @@
 
 
 def print_report(report: LoadReport) -> None:
-    """Print the counts and the table of latencies."""
+    """Print the counts and a table of latencies."""
     print(f"sent {report.sent} requests in {report.seconds:.1f} s")
     for name in ("outcomes", "refusals", "regions", "retries"):
         counts = getattr(report, name)
         if counts:
             shown = ", ".join(f"{kind} {count}" for kind, count in counts.items())
             print(f"{name}: {shown}")
-    heads = [_percentile_name(percent) for percent in PERCENTILES]
+    headings = [_percentile_name(percent) for percent in PERCENTILES]
     rows = [
         (row.name, row.count, row.mean, *row.percentiles.values())
         for row in report.latencies
     ]
-    print_table(("LATENCY (ms)", "COUNT", "MEAN", *heads), rows)
+    print_table(("LATENCY (ms)", "COUNT", "MEAN", *headings), rows)
 
 
 def _latency_row(name: str, latency: Latency) -> LatencyRow:
--- a/packages/cli/src/bronzepoint_cli/commands/orders.py
+++ b/packages/cli/src/bronzepoint_cli/commands/orders.py
@@ -1,4 +1,4 @@
-"""``bronzepoint orders``: how far the engines are from the wanted versions."""
+"""``bronzepoint orders``: show how engines progress to the wanted model versions."""
 
 import typer
 
@@ -14,13 +14,13 @@
 
 
 def orders(context: typer.Context, json: JsonOption = False) -> None:
-    """Show the engines that are told which model version to load.
+    """Show the engines that receive orders on which model version to load.
 
-    Asks the host that leads, since only that one gives orders.
+    Queries the leader, since only the leader gives orders.
 
     Example: bronzepoint orders
     """
-    leader, answer = run_with_gateway(context, _ask_leader)
+    leader, answer = run_with_gateway(context, _query_leader)
     if json:
         print_json(answer)
         return
@@ -35,7 +35,7 @@
         print(f"{leader} leads but may not give orders at the moment; ask again")
 
 
-async def _ask_leader(gateway: Gateway) -> tuple[str, OrdersStatus]:
+async def _query_leader(gateway: Gateway) -> tuple[str, OrdersStatus]:
     status = await gateway.get("/v1/admin/status", StatusAnswer)
     hosts = await gateway.get("/v1/admin/hosts", HostsAnswer)
     addresses = {host.name: host.http for host in hosts.hosts}
@@ -43,7 +43,7 @@
         raise CliError(
             f"{status.host} knows of no leader; see 'bronzepoint cluster status --each'"
         )
-    gateway.only(addresses[status.leader])
+    gateway.use_only(addresses[status.leader])
     return status.leader, await gateway.get("/v1/admin/orders", OrdersStatus)
 
 
--- a/packages/cli/src/bronzepoint_cli/commands/organisations.py
+++ b/packages/cli/src/bronzepoint_cli/commands/organisations.py
@@ -1,4 +1,4 @@
-"""``bronzepoint organisations``: who may ask, and how much of it is used."""
+"""``bronzepoint organisations``: show organisations, their quotas and their use."""
 
 import typer
 
@@ -15,11 +15,11 @@
 
 @app.command(name="list")
 def list_organisations(context: typer.Context, json: JsonOption = False) -> None:
-    """Show all organisations with what they use of their quotas, over all hosts.
+    """Show all organisations and their use of their quotas, over all hosts.
 
-    Ask a host of the core at its operators' address. QUOTA, ASKED and USED are units a
-    second; LEFT is what may be used at once, below 0 where more was used than the quota
-    gives. REFUSED counts units since the host was started.
+    Use the control address of a core host. QUOTA, ASKED and USED are in units per
+    second; LEFT is the number of units that may be used at once, below 0 if the quota
+    is exceeded. REFUSED counts units since the start of the host.
 
     Example: bronzepoint organisations list --json
     """
--- a/packages/cli/src/bronzepoint_cli/commands/quarantine.py
+++ b/packages/cli/src/bronzepoint_cli/commands/quarantine.py
@@ -1,4 +1,4 @@
-"""``bronzepoint quarantine``: requests that crash the targets that run them."""
+"""``bronzepoint quarantine``: show and release requests that crash targets."""
 
 from typing import Annotated
 
@@ -20,11 +20,11 @@
 
 @app.command(name="list")
 def list_requests(context: typer.Context, json: JsonOption = False) -> None:
-    """Show the requests that are held back or on trial.
+    """Show the requests that are blocked or on trial.
 
-    Ask a host of the core at its operators' address. A FINGERPRINT with an asterisk
-    stands for what is asked by whatever caller. LAST is the newest crash, LEFT the time
-    until the request is one as any other.
+    Use the control address of a core host. A FINGERPRINT with an asterisk stands for
+    the same request from any caller. LAST is the time since the newest crash, LEFT the
+    time until the request is treated like any other.
 
     Example: bronzepoint quarantine list --json
     """
@@ -53,12 +53,13 @@
 def release(
     context: typer.Context,
     fingerprint: Annotated[
-        str, typer.Argument(help="Its name, as the list and the log lines have it.")
+        str,
+        typer.Argument(help="Fingerprint of the request, from the list or a log line."),
     ],
 ) -> None:
-    """Let a request be sent to targets again, on all hosts.
+    """Allow a request to be sent to targets again, on all hosts.
 
-    Release it once targets run that stand it: before that it crashes some more.
+    Release it only once the targets can run it: otherwise it crashes more of them.
 
     Example: bronzepoint quarantine release 3a16d1ecfbd3a76888452520bc516310
     """
@@ -72,7 +73,7 @@
     if run_with_gateway(context, act).released:
         print(f"{fingerprint} is released")
         return
-    print(f"{fingerprint} isn't held back; see 'bronzepoint quarantine list'")
+    print(f"{fingerprint} isn't blocked; see 'bronzepoint quarantine list'")
     raise typer.Exit(1)
 
 
--- a/packages/cli/src/bronzepoint_cli/commands/send.py
+++ b/packages/cli/src/bronzepoint_cli/commands/send.py
@@ -1,4 +1,4 @@
-"""``bronzepoint send``: a request with a caller's token."""
+"""``bronzepoint send``: send a request with a caller's token."""
 
 import sys
 from typing import Annotated
@@ -9,21 +9,27 @@
 
 from bronzepoint_cli._chat import ChatCall
 from bronzepoint_cli._errors import TargetError, UsageFault
-from bronzepoint_cli._gateway import READING, Gateway, Purpose, path_part
+from bronzepoint_cli._gateway import SAFE_METHODS, Gateway, Purpose, path_part
 from bronzepoint_cli._output import print_origin
 from bronzepoint_cli._running import run_with_gateway
 from bronzepoint_common.http import Answer
 
 
 class RequestOptions(msgspec.Struct):
-    """Headers by which a caller narrows what may be done."""
+    """Options of a request that are sent as headers.
+
+    Attributes:
+        deadline: Seconds until the answer is worthless.
+        worth: Worth of an answer in cost units.
+        home_only: Whether the request must stay in the caller's home region.
+    """
 
     deadline: float | None
     worth: float | None
     home_only: bool
 
     def headers(self) -> dict[str, str]:
-        """Return the headers for what was set."""
+        """Return the headers for the options that were set."""
         headers = {"Content-Type": "application/json"}
         if self.deadline is not None:
             headers["Bronzepoint-Deadline"] = f"{self.deadline:g}"
@@ -56,17 +62,17 @@
         float | None, typer.Option(min=0, help="Worth of an answer, in cost units.")
     ] = None,
     home_only: Annotated[
-        bool, typer.Option("--home-only", help="Not to leave the home region.")
+        bool, typer.Option("--home-only", help="Stay in the caller's home region.")
     ] = False,
     max_tokens: Annotated[
-        int, typer.Option(min=1, help="Most tokens to generate.")
+        int, typer.Option(min=1, help="Maximum number of tokens to generate.")
     ] = 256,
 ) -> None:
-    """Call a model or a plain service, and print the answer as it comes.
+    """Call a model or a plain service, and print the answer as it arrives.
 
-    A host that can't be reached is replaced by the next one of the directory. A call
-    that may change something carries an idempotency key, so that it runs at most once
-    however often it is sent.
+    If a host can't be reached, the next one in the directory is tried. A call that may
+    change something has an idempotency key, so that it runs at most once even if it is
+    sent several times.
 
     Example: bronzepoint send phrasebook "Where is the pharmacy?"
 
@@ -86,7 +92,7 @@
 
 
 class ServiceCall:
-    """One call of a plain service."""
+    """A call of a plain service."""
 
     def __init__(
         self,
@@ -101,12 +107,12 @@
         self._method = method
         self._body = body
         self._options = options
-        if not key and method not in READING:
+        if not key and method not in SAFE_METHODS:
             key = str(uuid_utils.uuid7())
         self._key = key
 
     async def run(self, gateway: Gateway) -> None:
-        """Send it until it is answered, with the same key each time."""
+        """Send the call until it is answered, using the same key each time."""
         await gateway.follow_directory()
         headers = gateway.headers() | self._options.headers()
         advice = ""
--- a/packages/cli/src/bronzepoint_cli/commands/targets.py
+++ b/packages/cli/src/bronzepoint_cli/commands/targets.py
@@ -1,4 +1,4 @@
-"""``bronzepoint targets``: the targets that one host chooses from."""
+"""``bronzepoint targets``: show the targets that one host chooses from."""
 
 from typing import Annotated
 
@@ -28,9 +28,9 @@
 ) -> None:
     """Show the targets that the answering host chooses from.
 
-    STATE of a leaving target names who says so. IN FLIGHT counts that host's own
-    requests; RUNNING and WAITING are what the target itself reported, that many
-    seconds ago.
+    For a leaving target, STATE names the sources that reported it. IN FLIGHT counts
+    requests of the answering host only; RUNNING and WAITING were reported by the target
+    itself, REPORT AGE seconds ago.
 
     Example: bronzepoint targets --entry phrasebook
     """
--- a/packages/cli/src/bronzepoint_cli/commands/why.py
+++ b/packages/cli/src/bronzepoint_cli/commands/why.py
@@ -1,4 +1,4 @@
-"""``bronzepoint why``: the reason behind a decision."""
+"""``bronzepoint why``: show the reasons behind the decision about a request."""
 
 from datetime import UTC, datetime
 from typing import Annotated
@@ -27,7 +27,7 @@
 ) -> None:
     """Show the decision about one request: candidates, choice, tries, refusal.
 
-    Any host can be asked.
+    Any host can answer this.
 
     Example: bronzepoint why bkk-1.bkk.0192d3c5a1b07c3e9f0a1b2c3d4e5f60
     """
@@ -45,7 +45,7 @@
 
 
 def print_record(record: DecisionRecord) -> None:
-    """Print one host's part of the decision."""
+    """Print one host's record of the decision."""
     arrived = datetime.fromtimestamp(record.arrived, UTC)
     print(f"{record.request_id} at {record.host} ({record.region})")
     fields = {
--- a/packages/cli/src/bronzepoint_cli/explain/_causes.py
+++ b/packages/cli/src/bronzepoint_cli/explain/_causes.py
@@ -1,90 +1,94 @@
-"""Why a request ended as it did."""
+"""Finds the cause of a request's outcome in its timeline."""
 
 import re
 from collections.abc import Mapping
 from itertools import groupby
 
 from bronzepoint_cli.explain._log_lines import LogLine
-from bronzepoint_cli.explain._story import Story
+from bronzepoint_cli.explain._timeline import RequestTimeline
 
 REFUSALS: Mapping[str, str] = {
-    "no_catalogue": "nothing confirmed was in force on the host yet",
-    "no_room": "no target of its region and no other region had room",
+    "no_catalogue": "the host had no confirmed catalogue yet",
+    "no_room": "no target of its region and no other region had free capacity",
     "no_time": "its stream would not have ended by its deadline on any target",
-    "retries_used_up": "all tries were turned away, and no repeat was left",
-    "leaving": "the host was ending",
-    "unauthenticated": "no organisation holds its API key, by the catalogue in force",
-    "key_unconfirmed": "its API key isn't known, and the host may have lagged behind",
-    "route_unconfirmed": "it has no route that the host knows, and the host may have "
-    "lagged behind",
-    "lagging": "the host didn't keep up with its work",
+    "retries_used_up": "all tries were refused, and no retry was left",
+    "leaving": "the host was shutting down",
+    "unauthenticated": "no organisation in the current catalogue has its API key",
+    "key_unconfirmed": "its API key is unknown, and the host's catalogue may have been "
+    "out of date",
+    "route_unconfirmed": "the host knows no route for it, and the host's catalogue may "
+    "have been out of date",
+    "lagging": "the host was overloaded",
     "over_quota": "its organisation has used up its quota over all hosts",
-    "held": "targets crashed as they ran it, and it reaches none for some time",
+    "held": "targets crashed as they ran it, and it is blocked for some time",
 }
-"""What each reason of a refusal means; the request did not run."""
+"""Meaning of each refusal reason; the request did not run."""
 TRY_ENDS: Mapping[str, str] = {
     "connect_failed": "no connection was made",
-    "not_sent": "the connection broke before anything was written",
+    "not_sent": "the connection broke before the request was written",
     "rejected": "the target turned it away",
-    "replaced": "another start of the target answered",
-    "region_refused": "the other region had no room",
-    "held": "the other region holds it back, as targets crashed when they ran it",
+    "replaced": "the target had restarted",
+    "region_refused": "the other region had no free capacity",
+    "held": "the other region has blocked it, as targets crashed when they ran it",
     "cut": "the connection broke after it was sent, so it may have run",
-    "malformed": "the answer wasn't HTTP",
+    "malformed": "the answer wasn't valid HTTP",
     "other_answer": "the answer belonged to another request",
     "timeout": "no answer came in time",
     "lost": "the target or host fell silent",
 }
-"""What each end of a try means."""
+"""Meaning of each way in which a try can end."""
 IN_TIME = "answered in time"
-STOOD_STILL = "event loop late"
-"""Line of a host that answered nobody for a while."""
-BUSY_SHARE = 0.5
-"""Part of that time in which it must have used the processor to have caused it."""
+LOOP_BLOCKED_MESSAGE = "event loop late"
+"""Log message of a host whose event loop was blocked."""
+MIN_BUSY_FRACTION = 0.5
+"""Fraction of the blocked time from which CPU use indicates a task of the host itself.
+
+With less CPU use, the process was suspended or starved from outside.
+"""
 _END = re.compile(r" -> ([a-z_]+?)(?:_[0-9]+)?(?:, ended)?$")
 
 
-def find_cause(story: Story) -> str:
-    """Return one line on why a request ended as it did."""
-    last = story.last
-    if last is None:
+def find_cause(timeline: RequestTimeline) -> str:
+    """Return one line that explains the outcome of a request."""
+    final_line = timeline.final_line
+    if final_line is None:
         return (
             "no host wrote a line of it: it reached none of them, or its host was "
             "killed before it ended"
         )
-    match last.message:
+    match final_line.message:
         case "no route":
-            return _cause_of_no_route(story, last)
+            return _cause_of_no_route(timeline, final_line)
         case "refused":
-            reason = str(last.fields.get("reason", ""))
+            reason = str(final_line.fields.get("reason", ""))
             return f"not run: {REFUSALS.get(reason, reason)}"
         case "answer failed":
-            return f"a fault of the host: {last.fields.get('reason', '')}"
-    cause = _cause_of_outcome(story, last)
-    return cause if cause == IN_TIME else cause + _stood_still(story, last)
+            return f"a fault of the host: {final_line.fields.get('reason', '')}"
+    cause = _cause_of_outcome(timeline, final_line)
+    return cause if cause == IN_TIME else cause + _loop_blocked(timeline, final_line)
 
 
-def _stood_still(story: Story, last: LogLine) -> str:
-    """Return for how long the host that answered did nothing; empty: for no time."""
+def _loop_blocked(timeline: RequestTimeline, final_line: LogLine) -> str:
+    """Return how long the event loop of the answering host was blocked, if at all."""
     late = [
         line
-        for line in story.beliefs
-        if line.message == STOOD_STILL and line.host == last.host
+        for line in timeline.beliefs
+        if line.message == LOOP_BLOCKED_MESSAGE and line.host == final_line.host
     ]
     if not late:
         return ""
     longest = max(late, key=lambda line: line.fields.get("seconds", 0.0))
     seconds = longest.fields.get("seconds", 0.0)
-    busy = longest.fields.get("cpu_seconds", 0.0) >= seconds * BUSY_SHARE
+    busy = longest.fields.get("cpu_seconds", 0.0) >= seconds * MIN_BUSY_FRACTION
     why = "busy with one task" if busy else "held up from outside"
     return f"; its host did nothing for {seconds:g} s meanwhile, {why}"
 
 
-def _cause_of_no_route(story: Story, last: LogLine) -> str:
-    version = last.fields.get("version", -1)
-    newest = story.newest
+def _cause_of_no_route(timeline: RequestTimeline, final_line: LogLine) -> str:
+    version = final_line.fields.get("version", -1)
+    newest = timeline.newest
     if newest is not None and newest.fields.get("version", -1) > version:
-        ago = last.at - newest.at
+        ago = final_line.at - newest.at
         return (
             f"the host served on version {version}, while {newest.host} had version "
             f"{newest.fields['version']} since {ago:.1f} s before"
@@ -92,8 +96,8 @@
     return f"version {version} has no such route, and no host had a newer one"
 
 
-def _cause_of_outcome(story: Story, last: LogLine) -> str:
-    fields = last.fields
+def _cause_of_outcome(timeline: RequestTimeline, final_line: LogLine) -> str:
+    fields = final_line.fields
     outcome = str(fields.get("outcome", ""))
     tries = [str(note) for note in fields.get("tries", ())]
     ended = [end for note in tries if (end := _try_end(note))]
@@ -108,38 +112,39 @@
         case "deadline":
             return f"its time was over before the answer was whole{_after(ended)}"
         case "may_have_run" | "stream_broken":
-            # After an answer without the rest, the try before it is the cause.
+            # The last try may have been answered without the rest of the stream; then
+            # the failed try before it is the cause.
             failed = [end for end in ended if end != "answered"] or ["unanswered"]
             said = TRY_ENDS.get(failed[-1], failed[-1])
-            if failed[-1] == "cut" and _crashed(story, tries):
+            if failed[-1] == "cut" and _crashed(timeline, tries):
                 said = "its target crashed"
             return f"{said}; no further run brought it"
     return _cause_of_answer(fields, outcome, ended)
 
 
-def _crashed(story: Story, tries: list[str]) -> bool:
-    """Tell whether a host saw the target of the last try at one crash."""
-    parts = [str(n) for part in story.parts for n in part.fields.get("tries", ())]
-    cut = [note for note in parts or tries if _try_end(note) == "cut"]
+def _crashed(timeline: RequestTimeline, tries: list[str]) -> bool:
+    """Return whether any host logged a crash of a target whose connection broke."""
+    parts = [str(n) for part in timeline.parts for n in part.fields.get("tries", ())]
+    cut_notes = [note for note in parts or tries if _try_end(note) == "cut"]
     crashed = {
         str(line.fields.get("target"))
-        for line in story.beliefs
+        for line in timeline.beliefs
         if line.message == "target crashed"
     }
-    return any(note.startswith(f"{name}@") for note in cut for name in crashed)
+    return any(note.startswith(f"{name}@") for note in cut_notes for name in crashed)
 
 
 def _cause_of_answer(fields: Mapping, outcome: str, ended: list[str]) -> str:
     first, objective = fields.get("first_event"), fields.get("objective") or 0.0
     first = fields.get("seconds", 0.0) if first is None else first
-    gap, most = fields.get("gap") or 0.0, fields.get("max_gap") or 0.0
+    gap, max_gap = fields.get("gap") or 0.0, fields.get("max_gap") or 0.0
     before = _after(ended)
     if outcome.startswith("answered_") and not outcome.endswith("_200"):
         return f"the target answered {outcome.removeprefix('answered_')}"
     if objective and first > objective:
         return f"late: its first answer took {first:g} s of {objective:g}{before}"
-    if most and gap > most:
-        return f"late: a pause of {gap:g} s, where {most:g} are allowed{before}"
+    if max_gap and gap > max_gap:
+        return f"late: a pause of {gap:g} s, where {max_gap:g} are allowed{before}"
     return IN_TIME
 
 
@@ -149,10 +154,12 @@
 
 
 def _after(ended: list[str]) -> str:
-    """Return how the tries went that failed before; empty: none did."""
+    """Return a description of the failed tries; empty if there are none."""
     failed = [end for end in ended if end != "answered"]
-    told = []
+    descriptions = []
     for end, group in groupby(failed):
         times = len(list(group))
-        told.append(TRY_ENDS.get(end, end) + (f" ({times} times)" if times > 1 else ""))
-    return f"; before that, {', then '.join(told)}" if told else ""
+        descriptions.append(
+            TRY_ENDS.get(end, end) + (f" ({times} times)" if times > 1 else "")
+        )
+    return f"; before that, {', then '.join(descriptions)}" if descriptions else ""
--- a/packages/cli/src/bronzepoint_cli/explain/_log_lines.py
+++ b/packages/cli/src/bronzepoint_cli/explain/_log_lines.py
@@ -1,4 +1,4 @@
-"""Lines of a host's log."""
+"""Reads the log lines of hosts."""
 
 from collections.abc import Iterable, Iterator
 from datetime import datetime
@@ -7,19 +7,20 @@
 import msgspec
 from msgspec import Struct
 
-RESERVED = ("time", "level", "logger", "host", "message", "exception")
+RESERVED_KEYS = ("time", "level", "logger", "host", "message", "exception")
+"""Keys of a log line that are not fields of its message."""
 
 _decoder = msgspec.json.Decoder(dict[str, Any])
 
 
 class LogLine(Struct):
-    """One line.
+    """One log line.
 
     Attributes:
-        at: Seconds since 1970, by the clock of its host.
-        host: The host that wrote it.
-        message: What it tells.
-        fields: The rest of it, by name.
+        at: Unix seconds by the clock of the host.
+        host: Host that wrote the line.
+        message: Message text, without fields.
+        fields: All other fields by name.
     """
 
     at: float
@@ -29,20 +30,20 @@
 
     @property
     def request(self) -> str:
-        """Identifier of the request that it speaks of; empty: of none."""
+        """Id of the request that the line is about; empty if there is none."""
         return str(self.fields.get("request", ""))
 
 
 def read_log_lines(lines: Iterable[str], request_id: str) -> Iterator[LogLine]:
-    """Yield the lines that may belong to a request's story.
+    """Yield the log lines that may belong to a request's timeline.
 
-    Lines of other requests are left out unread, as are those that are no log lines.
-    Whatever stands before a line's first brace, such as a collector's own time and
-    host, is passed over.
+    Skips lines of other requests without decoding them, and text that is no log line.
+    Anything before the first brace of a line is ignored, such as a time and host added
+    by a log collector.
 
     Args:
         lines: Lines of one or several logs.
-        request_id: The request.
+        request_id: Id of the request.
     """
     for line in lines:
         if '"request"' in line and request_id not in line:
@@ -59,5 +60,5 @@
         host, message = str(values["host"]), str(values["message"])
     except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
         return None
-    fields = {name: v for name, v in values.items() if name not in RESERVED}
+    fields = {name: v for name, v in values.items() if name not in RESERVED_KEYS}
     return LogLine(at, host, message, fields)
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -1,4 +1,4 @@
-"""One request's story from the logs of several hosts."""
+"""Tests of building and explaining a request's timeline from logs of several hosts."""
 
 import json
 import tempfile
@@ -10,9 +10,9 @@
 from bronzepoint_cli.explain import (
     REFUSALS,
     TRY_ENDS,
+    build_timeline,
     find_cause,
     read_log_lines,
-    tell_story,
 )
 from bronzepoint_node.placement import RejectReason
 from tests._command_line import run_command
@@ -23,7 +23,7 @@
 
 
 def line(at, host, message, **fields):
-    """Return a log line; ``at`` are seconds of one minute."""
+    """Return an encoded log line; ``at`` is in seconds within one minute."""
     values = {"time": f"2026-01-01T00:00:{at:06.3f}+00:00", "level": "info"}
     return json.dumps({**values, "host": host, "message": message, **fields})
 
@@ -40,7 +40,7 @@
 
 
 def cause(*lines):
-    return find_cause(tell_story(ID, read_log_lines(lines, ID)))
+    return find_cause(build_timeline(ID, read_log_lines(lines, ID)))
 
 
 class TestCause(unittest.TestCase):
@@ -124,12 +124,12 @@
             "the host served on version 3, while a2 had version 5 since 5.0 s before",
         ),
     )
-    def test_it_is_told_in_one_line(self, lines, expected):
+    def test_cause_is_one_line(self, lines, expected):
         found = cause(*lines)
         self.assertTrue(found.startswith(expected), found)
         self.assertNotIn("\n", found)
 
-    def test_the_host_that_answered_the_caller_counts(self):
+    def test_cause_is_taken_from_the_host_that_answered(self):
         found = cause(
             request(9, "refused_no_room"),
             request(8.9, "answered", host="b1", forwarded=True),
@@ -137,39 +137,39 @@
         self.assertTrue(found.startswith("not run"), found)
 
     @params(*RejectReason)
-    def test_each_refusal_has_its_meaning(self, reason):
+    def test_every_refusal_reason_is_explained(self, reason):
         self.assertIn(reason, REFUSALS)
 
-    def test_each_end_of_a_try_has_its_meaning(self):
+    def test_every_end_of_a_try_is_explained(self):
         self.assertEqual({r.rstrip("_") for r in reasons()} - set(TRY_ENDS), set())
 
 
-class TestStory(unittest.TestCase):
-    def tell(self, *lines):
-        return tell_story(ID, read_log_lines(lines, ID))
+class TestTimeline(unittest.TestCase):
+    def build(self, *lines):
+        return build_timeline(ID, read_log_lines(lines, ID))
 
-    def test_what_any_host_said_of_what_was_asked_is_told(self):
-        """Guards against a refusal whose reason only another host has logged."""
+    def test_lines_of_any_host_about_the_fingerprint_are_included(self):
+        """Guards against missing the reason of a refusal that another host logged."""
         lines = [
             line(8.0, "core-1", "request held back", fingerprint="f", crashes=3),
             line(8.0, "core-1", "request held back", fingerprint="g", crashes=3),
             request(9, "refused_held", fingerprint="f"),
         ]
-        story = self.tell(*lines)
-        self.assertEqual([b.fields["fingerprint"] for b in story.beliefs], ["f"])
+        timeline = self.build(*lines)
+        self.assertEqual([b.fields["fingerprint"] for b in timeline.beliefs], ["f"])
 
-    def test_other_requests_and_other_text_are_passed_over(self):
-        story = self.tell(
+    def test_other_requests_and_other_text_are_ignored(self):
+        timeline = self.build(
             "not a log line",
             '{"host": 1',
             request(8.9, "answered", request="another"),
             "  9.1 a1 " + request(9, "answered"),
         )
-        self.assertEqual([part.host for part in story.parts], ["a1"])
-        self.assertEqual(story.beliefs, [])
+        self.assertEqual([part.host for part in timeline.parts], ["a1"])
+        self.assertEqual(timeline.beliefs, [])
 
-    def test_beliefs_of_its_hosts_and_of_its_targets_are_told(self):
-        story = self.tell(
+    def test_state_changes_of_its_hosts_and_targets_are_included(self):
+        timeline = self.build(
             catalogue(1, "a1", 2),
             catalogue(1, "b1", 4),
             line(8, "a1", "collector of loads", collector="a2"),
@@ -179,25 +179,25 @@
             line(9.5, "a1", "collector of loads", collector="a3"),
             request(9, "answered", [f"{TARGET} -> answered"]),
         )
-        told = [(b.message, b.host) for b in story.beliefs]
+        shown = [(b.message, b.host) for b in timeline.beliefs]
         expected = [
             ("catalogue in force", "a1"),
             ("collector of loads", "a1"),
             ("no report", "b1"),
         ]
-        self.assertEqual(told, expected)
-        self.assertEqual(story.newest.fields["version"], 4)
+        self.assertEqual(shown, expected)
+        self.assertEqual(timeline.newest.fields["version"], 4)
 
     @params("no report", "catalogue in force")
-    def test_a_story_fits_on_a_screen(self, message):
+    def test_timeline_is_limited_in_length(self, message):
         many = [line(8.49 + n / 100, "a1", message, version=9) for n in range(50)]
-        story = self.tell(catalogue(1, "a1", 2), *many, request(9, "answered"))
-        # The first line is told where it is what the host served on.
-        told = 51 if message == "no report" else 50
-        self.assertEqual(len(story.beliefs) + story.left_out, told)
-        self.assertLessEqual(len(story.beliefs), 12)
-        self.assertIn(message, [belief.message for belief in story.beliefs])
-        self.assertEqual(story.parts[-1].fields["outcome"], "answered")
+        timeline = self.build(catalogue(1, "a1", 2), *many, request(9, "answered"))
+        # The first line is included only where it gives the catalogue in use.
+        expected_count = 51 if message == "no report" else 50
+        self.assertEqual(len(timeline.beliefs) + timeline.left_out, expected_count)
+        self.assertLessEqual(len(timeline.beliefs), 12)
+        self.assertIn(message, [belief.message for belief in timeline.beliefs])
+        self.assertEqual(timeline.parts[-1].fields["outcome"], "answered")
 
 
 class TestCommand(unittest.TestCase):
@@ -212,7 +212,7 @@
             path.write_text("".join(f"{text}\n" for text in lines))
             return run_command("explain", ID, *arguments, str(path))
 
-    def test_the_story_is_printed_with_its_cause_at_the_end(self):
+    def test_timeline_is_printed_with_its_cause(self):
         done = self.run_on()
         self.assertEqual(done.status, 0, done.err)
         first, *_, last = done.out.splitlines()
@@ -221,22 +221,22 @@
         self.assertIn("known room          i-1 0/6; homes any; closed", done.out)
         self.assertTrue(last.startswith("cause: not run: no target"), last)
 
-    def test_standard_input_is_read_where_no_file_is_named(self):
+    def test_standard_input_is_read_without_files(self):
         given = "\n".join(self.LINES)
         done = run_command("explain", ID, given=given)
         self.assertEqual(done.out, self.run_on().out)
 
-    def test_json_holds_the_same(self):
+    def test_json_output(self):
         found = json.loads(self.run_on("--json").out)
         self.assertEqual(found["parts"][0]["fields"]["outcome"], "refused_no_room")
         self.assertTrue(found["cause"].startswith("not run"))
 
-    def test_an_unknown_request_is_said_so(self):
+    def test_unknown_request_is_an_error(self):
         done = self.run_on(lines=(catalogue(1, "a1", 2),))
         self.assertEqual(done.status, 1)
         self.assertIn("give the logs of all hosts", done.err)
 
-    def test_a_file_that_is_not_there_is_said_so(self):
+    def test_missing_file_is_an_error(self):
         done = run_command("explain", ID, "/nowhere.log")
         self.assertEqual(done.status, 2)
         self.assertIn("can't be read", done.err)
--- a/tests/test_cli_golden.py
+++ b/tests/test_cli_golden.py
@@ -1,7 +1,7 @@
-"""Sessions of the command line with a prepared host, compared with golden files.
+"""Command-line sessions with a fake host, compared with golden files.
 
-``BRONZEPOINT_GOLDEN=write make test TEST_OPTIONS=tests.test_cli_golden`` writes them
-anew; read the difference before it is committed.
+``BRONZEPOINT_GOLDEN=write make test TEST_OPTIONS=tests.test_cli_golden`` rewrites the
+files; review the difference before committing it.
 """
 
 import os
@@ -141,7 +141,7 @@
 ]
 ITEM = '{"kind": "model", "name": "phrasebook", "owner": "saphan"}'
 
-# Name of the golden file, arguments, standard input, replies besides the usual ones.
+# Name of the golden file, arguments, standard input, replies that override REPLIES.
 SESSIONS = (
     ("hosts", ["hosts"], "", {}),
     ("hosts_json", ["hosts", "--json"], "", {}),
@@ -226,13 +226,13 @@
 
 
 def hosts_at(address: str) -> admin.HostsAnswer:
-    """Return an answer by which the leader is the prepared host itself."""
+    """Return a host list in which the leader has the fake host's address."""
     leader = admin.HostStatus("bkk-1", "bkk", "bkk-a", address, "live")
     return admin.HostsAnswer("bkk-1", [leader])
 
 
 def mask(text: str, address: str) -> str:
-    """Replace what differs between two runs."""
+    """Replace text that differs between runs."""
     text = text.replace(address, "10.0.0.1:8080")
     return re.sub(r"[0-9a-f]{8}-?([0-9a-f]{4}-?){3}[0-9a-f]{12}", "<uuid>", text)
 
@@ -259,6 +259,6 @@
             path.write_text(shown, encoding="utf-8")
         self.assertEqual(shown, path.read_text(encoding="utf-8"))
 
-    def test_no_file_is_left_over(self):
+    def test_no_unused_golden_file(self):
         expected = {f"{name}.txt" for name, *_ in SESSIONS}
         self.assertEqual({path.name for path in GOLDEN.glob("*")}, expected)
--- a/tests/test_cli_load.py
+++ b/tests/test_cli_load.py
@@ -1,4 +1,4 @@
-"""A load against a prepared host: all arrivals are sent, and their counts shown."""
+"""Tests of ``bronzepoint load`` with a fake host: requests sent and counts shown."""
 
 import unittest
 
--- a/tests/test_cli_profile.py
+++ b/tests/test_cli_profile.py
@@ -1,4 +1,4 @@
-"""Where the command line learns hosts and token from, and its faults."""
+"""Tests of reading the command line's connection settings, including faults."""
 
 import tempfile
 import unittest
@@ -41,7 +41,7 @@
         self.assertEqual(profile.hosts, ["10.0.0.1:80", "10.0.0.2:80"])
         self.assertEqual((profile.token, profile.timeout), ("from-file", 5.0))
 
-    def test_options_go_before_the_file(self):
+    def test_options_override_the_file(self):
         profile = self.load(GOOD, hosts="[::1]:80", token="given", timeout=9.0)
         self.assertEqual(profile.hosts, ["[::1]:80"])
         self.assertEqual((profile.token, profile.timeout), ("given", 9.0))
--- a/tests/test_cli_resend.py
+++ b/tests/test_cli_resend.py
@@ -1,4 +1,4 @@
-"""What the command line does when a host is gone or an answer is lost."""
+"""Tests of how the command line handles lost hosts and lost answers."""
 
 import signal
 import subprocess
@@ -8,16 +8,16 @@
 import msgspec
 
 from bronzepoint_schema.generated import admin, agreement, decisions
-from tests._command_line import PATIENCE, command, environment, run_command
+from tests._command_line import MAX_WAIT, command, environment, run_command
 from tests._fake_host import FakeHost, Reply
 
-GONE = "127.0.0.1:1"
+UNREACHABLE_HOST = "127.0.0.1:1"
 CHANGES = "POST /v1/admin/changes"
 SAVE = "POST /v1/services/saved/phrases"
 ITEM = '{"kind": "owner", "name": "saphan", "version": 1}'
 CATALOGUE = Reply(admin.CatalogueAnswer("bkk-1", 0))
 DIRECTORY = "GET /v1/hosts"
-LATER = decisions.Refusal(
+NOT_READY = decisions.Refusal(
     decisions.RefusalKind.not_ready,
     "no quorum answered",
     "send the same change again",
@@ -44,25 +44,26 @@
         self.addCleanup(host.close)
         return host
 
-    def test_next_host_answers_for_one_that_is_gone(self):
+    def test_next_host_is_tried_for_unreachable_one(self):
         host = self.start()
-        done = run_command("catalogue", "list", hosts=f"{GONE},{host.address}")
+        done = run_command(
+            "catalogue", "list", hosts=f"{UNREACHABLE_HOST},{host.address}"
+        )
         self.assertEqual(done.status, 0, done.err)
 
-    def test_no_host_at_all(self):
-        done = run_command("hosts", hosts=GONE)
+    def test_no_host_reachable(self):
+        done = run_command("hosts", hosts=UNREACHABLE_HOST)
         self.assertEqual(done.status, 3)
         self.assertIn("check --hosts", done.err)
 
     def test_change_keeps_its_id(self):
-        """Symptom: a change that was applied shows up as a conflict with itself.
+        """Guards against an applied change that is reported as a conflict with itself.
 
-        Sequence: the host applies the change, the answer is lost, the command sends
-        it again, to another host.
-        Cause: a resend with a new id is a second change of the same version.
+        A host applies the change and its answer is lost, so the command resends it to
+        another host. With a new id, it would be a second change of the same version.
         """
         first = self.start(changes=[Reply(cut=True)])
-        body = decisions.ErrorBody(LATER)
+        body = decisions.ErrorBody(NOT_READY)
         accepted = Reply(agreement.Accepted("c", 1, 1))
         second = self.start(changes=[Reply(body, 503), accepted])
         hosts = f"{first.address},{second.address}"
@@ -76,7 +77,7 @@
         }
         self.assertEqual(len(changes), 1)
 
-    def test_change_without_an_answer_says_how_to_ask_again(self):
+    def test_unanswered_change_says_how_to_resend_it(self):
         host = self.start(changes=[Reply(cut=True)])
         done = run_command(
             *("--timeout", "1", "catalogue", "apply", "-"),
@@ -89,11 +90,10 @@
         self.assertIn(f"--change-id {change.change_id}", done.err)
 
     def test_call_keeps_its_key(self):
-        """Symptom: a phrase is saved twice.
+        """Guards against running a call twice.
 
-        Sequence: the service runs the call, the answer is lost, the command sends it
-        again through the next host of the directory.
-        Cause: a resend with a new key is a new call.
+        The service runs the call and its answer is lost, so the command resends it
+        through the next host in the directory. With a new key, it would be a new call.
         """
         second = self.start(save=[Reply({"saved": 1})])
         other = admin.DirectoryHost("bkk-2", "bkk", second.address)
@@ -109,12 +109,11 @@
         self.assertEqual(len({head["idempotency-key"] for head, _ in sent}), 1)
         self.assertEqual(len(sent), 3)
 
-    def test_interrupted_call_tells_its_key(self):
-        """Symptom: a phrase is saved twice, though nobody meant to send it anew.
+    def test_interrupted_call_prints_its_key(self):
+        """Guards against running a call twice after Ctrl-C.
 
-        Sequence: a call takes long, its sender ends the command by Ctrl-C and types it
-        again.
-        Cause: the second command makes a new key, as nobody knows the first one.
+        A user interrupts a slow call and repeats the command. It uses a new key, unless
+        the first command has printed its own.
         """
         host = self.start(save=[Reply(hang=True)])
         arguments = ("send", "saved", "{}", "--path", "/phrases", "--method", "POST")
@@ -126,16 +125,16 @@
             text=True,
         )
         self.addCleanup(process.kill)
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + MAX_WAIT
         while not host.sent(SAVE) and time.monotonic() < deadline:
             time.sleep(0.02)
         process.send_signal(signal.SIGINT)
-        _, shown = process.communicate(timeout=PATIENCE)
+        _, shown = process.communicate(timeout=MAX_WAIT)
         self.assertEqual(process.returncode, 130)
         ((head, _),) = host.sent(SAVE)
         self.assertIn(f"--key {head['idempotency-key']}", shown)
 
-    def test_unknown_outcome_of_a_call_tells_its_key(self):
+    def test_unknown_outcome_of_a_call_prints_its_key(self):
         refusal = decisions.ErrorBody(UNKNOWN)
         host = self.start(save=[Reply(refusal, 502)])
         arguments = ("send", "saved", "{}", "--path", "/phrases", "--method", "POST")
@@ -150,22 +149,22 @@
         ((head, _),) = host.sent("GET /v1/services/saved/phrases")
         self.assertNotIn("idempotency-key", head)
 
-    def test_stream_goes_to_the_next_host_only_before_it_begins(self):
-        """Symptom: the reader sees the beginning of one answer and the end of another.
+    def test_stream_is_retried_only_before_its_first_output(self):
+        """Guards against output that mixes the beginning and end of two answers.
 
-        Sequence: a stream breaks off in the middle, the next host starts anew.
-        Cause: two answers to one prompt differ.
+        A stream is truncated in the middle, and the next host starts from the beginning
+        with an answer that may differ.
         """
         whole = Reply(stream=[b'data: {"choices":[]}\n\n', b"data: [DONE]\n\n"])
         part = b'data: {"choices":[{"delta":{"content":"x"}}]}\n\n'
-        for broken, asked_next in (
+        for broken, retried in (
             (Reply(cut=True), 1),
             (Reply(stream=[part], cut=True), 0),
         ):
-            with self.subTest(asked_next=asked_next):
+            with self.subTest(retried=retried):
                 first, second = self.start(chat=[broken]), self.start(chat=[whole])
                 hosts = f"{first.address},{second.address}"
                 done = run_command("send", "phrasebook", "x", hosts=hosts)
-                self.assertEqual(done.status, 0 if asked_next else 3, done.err)
-                asked = second.sent("POST /v1/chat/completions")
-                self.assertEqual(len(asked), asked_next)
+                self.assertEqual(done.status, 0 if retried else 3, done.err)
+                retries = second.sent("POST /v1/chat/completions")
+                self.assertEqual(len(retries), retried)
