--- a/packages/cli/src/bronzepoint_cli/commands/explain.py
+++ b/packages/cli/src/bronzepoint_cli/commands/explain.py
@@ -98,7 +98,7 @@
 def _part_rows(
     timeline: RequestTimeline, part: LogLine
 ) -> list[tuple[float, str, str, str]]:
-    arrival = "received, forwarded" if part.fields.get("forwarded") else "received"
+    arrival = "came, forwarded" if part.fields.get("forwarded") else "came"
     rows = [(processing_started_at(part) - timeline.started_at, part.host, arrival, "")]
     ended = part.at - timeline.started_at
     for number, note in enumerate(map(str, part.fields.get("tries", ())), start=1):
--- a/packages/cli/src/bronzepoint_cli/explain/_timeline.py
+++ b/packages/cli/src/bronzepoint_cli/explain/_story.py
@@ -91,24 +91,24 @@
         None,
         "",
     }
-    nearby = []
+    found = []
     for line in others:
         is_related = _target_of(line) in tried or _fingerprint_of(line) in fingerprints
         until = ended + TRAILING_TIME if is_related else ended
         if not timeline.started_at - LEAD_TIME <= line.at <= until:
             continue
         if is_related or line.host in hosts:
-            nearby.append(line)
+            found.append(line)
     # The catalogue version that a host used is shown, however old its line is.
     catalogues_in_use = [
         [b for b in catalogue_lines if b.host == host][-1:] for host in sorted(hosts)
     ]
-    selected = [line for lines in catalogues_in_use for line in lines]
-    candidates = [line for line in nearby if line not in selected]
-    free_places = max(0, MAX_STATE_CHANGES - len(selected))
-    selected += candidates[len(candidates) - free_places :]
-    left_out = max(0, len(candidates) - free_places)
-    return sorted(selected, key=lambda line: line.at), left_out
+    kept = [line for lines in catalogues_in_use for line in lines]
+    rest = [line for line in found if line not in kept]
+    free_places = max(0, MAX_STATE_CHANGES - len(kept))
+    kept += rest[len(rest) - free_places :]
+    left_out = max(0, len(rest) - free_places)
+    return sorted(kept, key=lambda line: line.at), left_out
 
 
 def _fingerprint_of(line: LogLine) -> str:
