--- a/tests/_golden_recorder.py
+++ b/tests/_golden_recorder.py
@@ -1,4 +1,4 @@
-"""Recording of HTTP sessions as text that is the same in each run."""
+"""Records HTTP sessions as text that is the same in every run."""
 
 import json
 import re
@@ -16,11 +16,13 @@
 HOST_LIST = re.compile(r"\b[a-z]+-\d+(?:, [a-z]+-\d+)+")
 CLOCK_TIME = re.compile(r"\b\d\d:\d\d:\d\dZ")
 MAX_LINE = 100
+"""Characters of JSON above which a body is written on several lines."""
 HIDDEN_HEADERS = ("connection", "content-length")
+"""Headers that are left out of the transcript."""
 MEASURED_TEXTS = ("detail", "reason")
-"""Fields of text whose numbers were measured."""
-COUNTED_TEXTS = ("message", "remedy")
-"""Fields of text in which fractions and seconds were measured."""
+"""Text fields in which all numbers are measured."""
+PARTLY_MEASURED_TEXTS = ("message", "remedy")
+"""Text fields in which only fractions and numbers of seconds are measured."""
 UNSTABLE = {
     "arrived": "time",
     "started": "seconds",
@@ -43,9 +45,9 @@
     "leader": "host",
     "age": "seconds",
 }
-"""Fields whose value differs from run to run, and what stands in their place."""
-MEANT_ZEROS = ("score", "retry_after")
-"""Fields whose zero says something: not weighed, no use in retrying."""
+"""Fields whose values vary between runs, with their placeholders."""
+MEANINGFUL_ZEROS = ("score", "retry_after")
+"""Fields in which zero has a meaning: not scored, or no retry advised."""
 SORTED_LISTS = {
     "candidates": lambda item: (item["excluded"] is not None, item["name"]),
     "hosts": lambda item: item["name"],
@@ -54,23 +56,24 @@
     "voter_states": lambda item: item["host"],
     "engines": lambda item: item["target"],
 }
-"""Lists whose order is drawn or depends on measured values."""
-KEPT_COUNTERS = (
+"""Sort keys of lists whose order is random or depends on measured values."""
+SHOWN_COUNTERS = (
     "refusal.bad_request",
     "refusal.forbidden",
     "refusal.key_missing",
     "refusal.rate_limited",
     "refusal.unknown_entry",
 )
-"""Counters that are shown; others depend on what the harness waited for."""
+"""Counters shown in transcripts; all others depend on the harness's waiting times."""
 VOTER_ROLES = ("leader", "follower", "candidate", "learner")
+"""Values of ``role`` that vary between runs."""
 
 
 class Normaliser:
-    """Replaces what differs from run to run by names that stay.
+    """Replaces text that varies between runs with stable names.
 
     Args:
-        names: What each address belongs to.
+        names: Name shown for each address.
     """
 
     def __init__(self, names: dict[str, str]) -> None:
@@ -78,7 +81,7 @@
         self._labels: dict[str, str] = {}
 
     def text(self, text: str) -> str:
-        """Return a text with stable identifiers, addresses and times."""
+        """Return the text with stable identifiers, addresses and times."""
         text = REQUEST_ID.sub(lambda m: f"{m[1]}.{self._label('ID', m[2])}", text)
         text = UUID.sub(lambda m: self._label("KEY", m[0]), text)
         text = ADDRESS.sub(lambda m: self._names.get(m[0], "address"), text)
@@ -87,7 +90,7 @@
         return CLOCK_TIME.sub("hh:mm:ssZ", text)
 
     def body(self, data: bytes) -> str:
-        """Return a body; JSON is laid out for reading."""
+        """Return the normalised body; long JSON is indented."""
         try:
             value = json.loads(data)
         except ValueError:
@@ -105,12 +108,12 @@
             return [self._value(item, "") for item in self._sorted(value, key)]
         if isinstance(value, str) and key in MEASURED_TEXTS:
             return NUMBER.sub("N", self.text(value))
-        if isinstance(value, str) and key in COUNTED_TEXTS:
+        if isinstance(value, str) and key in PARTLY_MEASURED_TEXTS:
             return FRACTION.sub("N", self.text(value))
         return value
 
     def _field(self, name: str, value: Any) -> Any:
-        if name in UNSTABLE and (value or name not in MEANT_ZEROS):
+        if name in UNSTABLE and (value or name not in MEANINGFUL_ZEROS):
             return f"<{UNSTABLE[name]}>"
         if name == "role" and value in VOTER_ROLES:
             return "<role>"
@@ -120,9 +123,9 @@
 
     @staticmethod
     def _counters(counters: dict[str, float]) -> dict[str, str]:
-        """Keep some that surely follow from the sessions before."""
-        kept = sorted(name for name in counters if name in KEPT_COUNTERS)
-        return {name: "<count>" for name in kept}
+        """Keep only counters that are determined by the earlier sessions."""
+        shown_names = sorted(name for name in counters if name in SHOWN_COUNTERS)
+        return {name: "<count>" for name in shown_names}
 
     @staticmethod
     def _sorted(items: list[Any], key: str) -> list[Any]:
@@ -137,25 +140,25 @@
 
 
 class Recorder:
-    """Sends requests and writes down what was said on both sides.
+    """Sends requests and records both sides of the session.
 
     Args:
-        dep: The deployment that is asked.
-        names: What each address belongs to.
+        dep: Deployment that receives the requests.
+        names: Name shown for each address.
     """
 
     def __init__(self, dep: Deployment, names: dict[str, str]) -> None:
         self.dep = dep
-        self._normal = Normaliser(names)
+        self._normaliser = Normaliser(names)
         self._lines: list[str] = []
 
     @property
     def transcript(self) -> str:
-        """The session so far."""
+        """Text of the session so far."""
         return "\n".join(self._lines) + "\n"
 
     def note(self, text: str) -> None:
-        """Write down what happens between two requests."""
+        """Record a remark between two requests."""
         self._lines += [f"# {text}", ""]
 
     def send(
@@ -166,10 +169,10 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """Send a request and write down both sides."""
-        self.ask(client, method, path, body, headers)
+        """Send a request and record it with its answer."""
+        self.record_request(client, method, path, body, headers)
         reply = client.request(method, path, body, headers)
-        self.answer(reply)
+        self.record_answer(reply)
         return reply
 
     def stream(
@@ -179,24 +182,24 @@
         body: Any,
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Send a request whose answer is a stream, which may be cut."""
-        self.ask(client, "POST", path, body, headers)
+        """Send a request and record its streamed answer, which may be truncated."""
+        self.record_request(client, "POST", path, body, headers)
         with client.open("POST", path, body, headers) as answer:
             self._head(answer.status, answer.headers)
             try:
                 for event in answer.events():
-                    self._lines += [f"< data: {self._normal.text(event)}", "<"]
+                    self._lines += [f"< data: {self._normaliser.text(event)}", "<"]
             except Exception as exc:
                 self._lines.append(f"(the connection was cut: {type(exc).__name__})")
         self._lines.append("")
 
     def raw(self, address: str, data: bytes, shown: str) -> None:
-        """Send bytes that no client library would send.
+        """Send bytes that no client library would send, and record the answer.
 
         Args:
-            address: Where to.
-            data: The bytes.
-            shown: How the transcript gives them.
+            address: Address of the host.
+            data: Bytes to send.
+            shown: Text of the request in the transcript.
         """
         self._lines += [f"> {line}".rstrip() for line in shown.splitlines()]
         host, _, port = address.rpartition(":")
@@ -208,9 +211,9 @@
         head, _, body = received.partition(b"\r\n\r\n")
         first, *rest = head.decode().splitlines()
         headers = dict(line.lower().split(": ", 1) for line in rest)
-        self.answer(Reply(int(first.split()[1]), headers, body))
+        self.record_answer(Reply(int(first.split()[1]), headers, body))
 
-    def ask(
+    def record_request(
         self,
         client: Client,
         method: str,
@@ -218,25 +221,25 @@
         body: Any,
         headers: dict[str, str] | None,
     ) -> None:
-        """Write down a request."""
-        self._lines.append(f"> {method} {self._normal.text(path)} HTTP/1.1")
+        """Record a request without sending it."""
+        self._lines.append(f"> {method} {self._normaliser.text(path)} HTTP/1.1")
         if client.token:
             self._lines.append(f"> Authorization: Bearer {client.token}")
         for name, value in (headers or {}).items():
-            self._lines.append(f"> {name}: {self._normal.text(value)}")
+            self._lines.append(f"> {name}: {self._normaliser.text(value)}")
         if body is not None:
             data = body if isinstance(body, bytes) else json.dumps(body).encode()
             self._body(">", data)
 
-    def answer(self, reply: Reply) -> None:
-        """Write down a whole answer."""
+    def record_answer(self, reply: Reply) -> None:
+        """Record a complete answer."""
         self._head(reply.status, reply.headers)
         if reply.body:
             self._body("<", reply.body)
         self._lines.append("")
 
     def wait_why(self, client: Client, request_id: str) -> None:
-        """Wait until a request's record is complete; it follows the answer."""
+        """Wait until a request's record is complete, which is after its answer."""
 
         def complete() -> bool:
             records = client.get(f"/v1/why/{request_id}").json()["records"]
@@ -250,8 +253,8 @@
             if name == "retry-after":
                 value = "<seconds>"
             if name not in HIDDEN_HEADERS:
-                self._lines.append(f"< {name}: {self._normal.text(value)}")
+                self._lines.append(f"< {name}: {self._normaliser.text(value)}")
 
     def _body(self, mark: str, data: bytes) -> None:
-        lines = self._normal.body(data).splitlines()
+        lines = self._normaliser.body(data).splitlines()
         self._lines += [mark, *(f"{mark} {line}".rstrip() for line in lines)]
--- a/tests/_golden_sessions.py
+++ b/tests/_golden_sessions.py
@@ -1,4 +1,4 @@
-"""The golden sessions, in the order in which they are recorded on one deployment."""
+"""Golden sessions, in the order in which they are recorded on one deployment."""
 
 import threading
 import uuid
@@ -25,28 +25,28 @@
 
 @dataclass
 class Session:
-    """One session.
+    """One golden session.
 
     Attributes:
-        name: Name of its file.
-        title: Heading in the interface's page.
-        play: Sends the requests.
+        name: Name of its golden file.
+        title: Heading in the interface page.
+        run: Function that sends the requests.
     """
 
     name: str
     title: str
-    play: Callable[[Recorder], None]
+    run: Callable[[Recorder], None]
 
 
 SESSIONS: list[Session] = []
 
 
 def session(title):
-    """Add a function to the sessions, under its own name."""
+    """Decorate a function to register it as a session under its own name."""
 
-    def add(play):
-        SESSIONS.append(Session(play.__name__, title, play))
-        return play
+    def add(run):
+        SESSIONS.append(Session(run.__name__, title, run))
+        return run
 
     return add
 
@@ -64,12 +64,12 @@
 
 
 def leader(rec):
-    """Return the operator's client at the host that leads."""
+    """Return the operator's client of the leader."""
     return operator(rec, rec.dep.operator("bkk-1").status()["leader"])
 
 
 def change(rec, client, body):
-    """Send a change and wait until it is in force everywhere."""
+    """Send a change and wait until it has taken effect on all hosts."""
     reply = rec.send(client, "POST", "/v1/admin/changes", body)
     rec.dep.wait_revision(reply.json()["revision"])
 
@@ -86,16 +86,16 @@
 def refusal_not_leader(rec):
     body = rec.dep.operator("bkk-1").remove_body("model", "clinic", 1)
     body["change_id"] = new_key()
-    # Until the hosts have met, or while one of them is slow, an outcome counts as
-    # unknown. The answer that says otherwise is the one to write down: sent once more
-    # beside load, the change may meet a voter that doesn't answer in time.
+    # While the hosts aren't connected yet, or one of them is slow, the outcome is
+    # unknown. Record the answer that was received when it was known: if the change were
+    # sent again on a busy machine, a voter might not answer in time.
     client = operator(rec)
-    reply = wait_until(lambda: _not_taken(client, body), "the voters answer")
-    rec.ask(client, "POST", "/v1/admin/changes", body, None)
-    rec.answer(reply)
+    reply = wait_until(lambda: _answer_not_run(client, body), "the voters answer")
+    rec.record_request(client, "POST", "/v1/admin/changes", body, None)
+    rec.record_answer(reply)
 
 
-def _not_taken(client, body):
+def _answer_not_run(client, body):
     reply = client.post("/v1/admin/changes", body)
     return reply if reply.refusal["ran"] == "no" else None
 
@@ -211,7 +211,7 @@
     rec.dep.set_faults("bkk-slow", slow=200.0)
     client = caller(rec)
     body = chat("single", tokens=1000, stream=True)
-    wait_until(lambda: _accepted(client, body), "a request is taken")
+    wait_until(lambda: _accepted(client, body), "a request is accepted")
     rec.note("While another request is in progress.")
     with client.open("POST", CHAT, body):
         rec.send(client, "POST", CHAT, chat("single"))
@@ -315,8 +315,8 @@
     rec.send(client, "POST", path, body, key)
     thread.join()
     rec.note("The answer to the first one, at its deadline:")
-    rec.ask(client, "POST", path, body, key)
-    rec.answer(first[0])
+    rec.record_request(client, "POST", path, body, key)
+    rec.record_answer(first[0])
     rec.note("A resend afterwards:")
     rec.send(client, "POST", path, body, key)
 
@@ -332,8 +332,10 @@
         revision=1,
     )
     value = encode_context(context, bytes.fromhex(CLUSTER_KEY))
-    rec.ask(client, "POST", CHAT, chat("archive"), {FORWARD_HEADER: "(context)"})
-    rec.answer(client.post(CHAT, chat("archive"), {FORWARD_HEADER: value}))
+    rec.record_request(
+        client, "POST", CHAT, chat("archive"), {FORWARD_HEADER: "(context)"}
+    )
+    rec.record_answer(client.post(CHAT, chat("archive"), {FORWARD_HEADER: value}))
 
 
 @session("A body or a head that is too large")
@@ -392,12 +394,14 @@
 
 @session("Hosts and targets")
 def operator_hosts(rec):
-    # Each host hears of the revisions in its region by gossip, some 0.1 s to 1 s late,
-    # and of none elsewhere. Read before or after that, the answer names the revision
-    # before the last two changes or the present one.
+    # A host learns the revisions of its own region by gossip, 0.1 s to 1 s late, and
+    # none of other regions. Depending on when it is read, the answer would show the
+    # current revision or the one before the last two changes.
     client = operator(rec)
     newest = rec.dep.revision("bkk-1")
-    wait_until(lambda: _revisions(client) == {0, newest}, "all words are up to date")
+    wait_until(
+        lambda: _revisions(client) == {0, newest}, "all revisions are up to date"
+    )
     rec.send(client, "GET", "/v1/admin/hosts")
     rec.send(operator(rec), "GET", "/v1/admin/targets")
 
@@ -429,12 +433,12 @@
     rec.send(operator(rec, "bkk-3"), "POST", "/v1/admin/drain/bkk-3", {})
     wait_until(
         lambda: "bkk-3" not in caller(rec).get("/v1/hosts").body.decode(),
-        "callers are sent elsewhere",
+        "callers are sent to other hosts",
     )
     rec.send(caller(rec), "GET", "/v1/hosts")
 
 
-# Lost hosts: last, since they stay lost
+# Lost hosts: last, since they are not restarted
 
 
 @session("Why, while another region can't be reached")
--- a/tests/_golden_site.py
+++ b/tests/_golden_site.py
@@ -1,7 +1,7 @@
-"""The deployment that the golden sessions are recorded on.
+"""Deployment on which the golden sessions are recorded.
 
-Each fault has a target and an entry of its own, so that no session depends on what
-another one has left behind.
+Each fault has its own target and entry, so that sessions don't depend on the state left
+by earlier ones.
 """
 
 import msgspec
@@ -43,7 +43,7 @@
 
 
 def layout():
-    """Return five hosts, of which the three of bkk keep run-once records."""
+    """Return a layout of five hosts; the three in bkk store run-once records."""
     return msgspec.structs.replace(
         saphan(),
         hosts=[
@@ -72,7 +72,7 @@
 
 
 def catalogue(layout: Layout, addresses) -> list:
-    """Return the items, with the real addresses."""
+    """Return the catalogue items with the real addresses of the targets."""
 
     def targets(*names):
         return [
@@ -119,7 +119,7 @@
 
 
 def address_names(dep: Deployment) -> dict[str, str]:
-    """Return what each address of the deployment belongs to."""
+    """Return the name shown for each address of the deployment."""
     names = {dep.address(host): f"{host}:8080" for host in dep.host_names()}
     targets = {dep.targets.target(name): f"{name}:9000" for name in dep.targets.names()}
     return names | targets
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,7 +1,7 @@
-"""Whole HTTP sessions with real processes, compared with golden files.
+"""HTTP sessions with real processes, compared with golden files.
 
-``BRONZEPOINT_GOLDEN=write make test TEST_OPTIONS=tests.test_golden`` records them anew
-and puts them into docs/INTERFACE.md; read the difference before it is committed.
+``BRONZEPOINT_GOLDEN=write make test TEST_OPTIONS=tests.test_golden`` records them again
+and inserts them into docs/INTERFACE.md; review the difference before committing it.
 """
 
 import os
@@ -22,20 +22,21 @@
 GOLDEN = ROOT / "tests" / "golden" / "http"
 PAGE = ROOT / "docs" / "INTERFACE.md"
 WRITE = os.environ.get("BRONZEPOINT_GOLDEN") == "write"
-BLOCK = re.compile(r"<!-- session (\w+) -->\n.*?<!-- end -->", re.DOTALL)
+SESSION_BLOCK = re.compile(r"<!-- session (\w+) -->\n.*?<!-- end -->", re.DOTALL)
 BEFORE_DECLARATION = ("refusal_not_ready", "refusal_not_leader", "operator_init")
+"""Sessions that run before the catalogue is declared."""
 NOT_RECORDED = {
-    RefusalKind.internal: "can't be brought about from outside",
-    RefusalKind.draining: "its moment, between two steps of a shutdown, can't be met",
+    RefusalKind.internal: "can't be triggered from outside",
+    RefusalKind.draining: "occurs only briefly during a shutdown",
 }
-"""Kinds without a golden session, and why."""
+"""Kinds of refusals without a golden session, with the reason."""
 
 
-def record():
-    """Play all sessions on one deployment.
+def run_sessions():
+    """Run all sessions on one deployment.
 
     Returns:
-        The transcript of each, or what went wrong.
+        The transcript of each session by name, ending with the error if it failed.
     """
     transcripts = {}
     with Deployment(_golden_site.layout(), declare=False) as dep:
@@ -45,7 +46,7 @@
                 transcripts["declared"] = ""
             recorder = Recorder(dep, _golden_site.address_names(dep))
             try:
-                session.play(recorder)
+                session.run(recorder)
                 transcripts[session.name] = recorder.transcript
             except Exception as exc:
                 transcripts[session.name] = f"{recorder.transcript}{exc!r}\n"
@@ -53,7 +54,7 @@
 
 
 def declare(dep):
-    """Declare all items but the first one, which a session declares."""
+    """Declare all items except the first one, which a session declares."""
     operator = dep.operator()
     for item in dep.catalogue()[1:]:
         revision = operator.put(item)
@@ -68,14 +69,14 @@
     )
 
 
-def with_blocks(page):
-    """Return the page with the golden files in its blocks."""
+def insert_sessions(page):
+    """Return the page with its session blocks replaced by the golden files."""
 
     def block(match):
         text = (GOLDEN / f"{match[1]}.txt").read_text().rstrip()
         return f"<!-- session {match[1]} -->\n```http\n{text}\n```\n<!-- end -->"
 
-    return BLOCK.sub(block, page)
+    return SESSION_BLOCK.sub(block, page)
 
 
 class GoldenTest(unittest.TestCase):
@@ -83,7 +84,7 @@
 
     @classmethod
     def setUpClass(cls):
-        cls.transcripts = record()
+        cls.transcripts = run_sessions()
 
     @params(*[session.name for session in SESSIONS])
     def test_session(self, name):
@@ -100,8 +101,8 @@
     def test_page_shows_the_golden_files(self):
         page = PAGE.read_text()
         if WRITE:
-            PAGE.write_text(with_blocks(page))
-        self.assertEqual(PAGE.read_text(), with_blocks(page))
+            PAGE.write_text(insert_sessions(page))
+        self.assertEqual(PAGE.read_text(), insert_sessions(page))
 
     def test_page_shows_every_session(self):
         names = re.findall(r"<!-- session (\w+) -->", PAGE.read_text())
--- a/tests/test_tools_ci.py
+++ b/tests/test_tools_ci.py
@@ -1,4 +1,4 @@
-"""CI's verdict: nothing may fail but what KNOWN-RED.txt lists."""
+"""Tests that CI fails unless all failed tests are listed in KNOWN-RED.txt."""
 
 import contextlib
 import io
@@ -16,7 +16,8 @@
 
 LISTED = "tests.a.T.b, slow disk, 4\n"
 
-# Failed tests, failed checks, KNOWN-RED.txt; then status, closing line, another line.
+# Failed tests, failed checks, text of KNOWN-RED.txt; expected exit status, last line of
+# the output, and another text in the output.
 VERDICTS = (
     ([], [], "", 0, "13 passed, 0 failed", ""),
     (["tests.a.T.b"], [], "", 1, "13 passed, 1 failed", "failed: tests.a.T.b"),
--- a/tests/test_tools_lost_worth.py
+++ b/tests/test_tools_lost_worth.py
@@ -1,4 +1,4 @@
-"""The account of how requests ended, from the lines of entry hosts."""
+"""Tests of counting why requests failed, from the log lines of entry hosts."""
 
 import json
 import tempfile
@@ -27,7 +27,7 @@
         ({}, ""),
         ({"first_event": 1.2}, "late: first answer"),
         ({"gap": 0.7}, "late: pause"),
-        # a plain service: the whole answer counts, and there are no pauses
+        # Plain service: the time of the complete answer counts, and pauses don't.
         ({"first_event": None, "max_gap": 0.0, "seconds": 0.9}, ""),
         ({"first_event": None, "max_gap": 0.0, "gap": 9.0}, "late: first answer"),
         ({"outcome": "answered_200", "seconds": 0.1, "first_event": None}, ""),
--- a/tests/test_tools_runner.py
+++ b/tests/test_tools_runner.py
@@ -1,4 +1,4 @@
-"""The test runner reports hung, crashed and untidy modules as failed."""
+"""Tests that the test runner reports hung, crashed and leaking modules as failed."""
 
 import os
 import subprocess
@@ -64,12 +64,8 @@
         self.assertEqual(run.failed, failed)
         self.assertEqual(run.outcomes["test_sample.T.test_a"], "passed")
 
-    def test_hung_test_shows_where(self):
-        """Symptom: CI runs until it is killed, and says nothing of the test.
-
-        Sequence: a test waits for an event that never comes.
-        Cause: nothing ends it from outside, or what ends it doesn't know its stack.
-        """
+    def test_hung_test_shows_its_stack(self):
+        """Guards against a hung test that blocks CI without showing its stack."""
         run = self.run_module(MODULE.format(body="time.sleep(100)"))
         self.assertIn("in test_b", run.output_path.read_text())
 
@@ -105,15 +101,15 @@
         Path("pid.new").rename("pid")
         child.wait()
 """
-PATIENCE = 30
+MAX_WAIT = 30
 
 
 class Interrupted(unittest.TestCase):
-    def test_nothing_is_left_behind(self):
-        """Symptom: daemons of an interrupted run hold ports and processors for hours.
+    def test_interrupted_run_leaves_no_process(self):
+        """Guards against daemons that outlive an interrupted run.
 
-        Sequence: CI ends the runner by SIGTERM while a test has processes running.
-        Cause: the processes of a test don't end with the runner by themselves.
+        CI ends the runner with SIGTERM while a test has started processes. Unless the
+        runner ends them, they occupy ports and CPUs for hours.
         """
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -125,14 +121,14 @@
         self.addCleanup(runner.kill)
         pid = self.wait_for(lambda: self.read_pid(Path(folder.name) / "pid"))
         runner.terminate()
-        self.assertEqual(runner.wait(PATIENCE), 130)
+        self.assertEqual(runner.wait(MAX_WAIT), 130)
         self.wait_for(lambda: not Path(f"/proc/{pid}").exists())
 
     def read_pid(self, path: Path) -> int:
         return int(path.read_text()) if path.exists() else 0
 
     def wait_for(self, observe):
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + MAX_WAIT
         while time.monotonic() < deadline:
             if seen := observe():
                 return seen
--- a/tools/_test_worker.py
+++ b/tools/_test_worker.py
@@ -1,7 +1,7 @@
-"""Run one test module with nose2 and write each outcome to a file, line by line.
+"""Runs one test module with nose2 and writes each outcome as a line to a file.
 
 Usage: ``python tools/_test_worker.py MODULE OUTCOMES TIMEOUT``.
-`run_tests` starts it in the root of the repository.
+`run_tests` starts it in the root folder of the repository.
 """
 
 import faulthandler
@@ -14,13 +14,14 @@
 
 
 class OutcomeWriter:
-    """nose2 hooks that write what begins and how it ends.
+    """nose2 hooks that write the start and outcome of each test.
 
-    A worker that hangs or crashes can't report at its end. Each line is written at
-    once, so the parent sees the test that had begun and counts it as failed.
+    A worker that hangs or crashes can't write a report at its end. Each line is
+    therefore flushed at once, so that the parent process sees which test was running
+    and counts it as failed.
 
     Args:
-        path: File that gets the lines.
+        path: File to append to.
         timeout: Seconds that one test may take before the worker is ended.
     """
 
@@ -29,29 +30,30 @@
         self._timeout = timeout
 
     def startTest(self, event) -> None:  # noqa: N802
-        """Note the start, and set the alarm that ends a hung test."""
-        # A test that waits for what never comes would hang CI with no word of where;
-        # the dump of all stacks shows it, and exit lets the parent go on.
+        """Write the start of a test and set the timer that ends it if it hangs."""
+        # A hung test would block CI without showing where it hangs. The timer dumps all
+        # stacks and exits, so that the parent process can continue.
         faulthandler.dump_traceback_later(self._timeout, exit=True)
         self._write("start", event.test)
 
     def stopTest(self, event) -> None:  # noqa: N802
-        """Take the alarm back."""
+        """Cancel the timer."""
         faulthandler.cancel_dump_traceback_later()
 
     def testOutcome(self, event) -> None:  # noqa: N802
-        """Note the outcome of a test, or of one of its subtests."""
+        """Write the outcome of a test, or of one of its subtests."""
         test = getattr(event.test, "test_case", event.test)
         if event.outcome == "subtest":
             if event.exc_info is not None:
                 self._write("failed", test)
             return
-        # An expected failure or a skip is no pass: it hides a test that doesn't hold.
+        # Expected failures and skips don't count as passed, as they would hide tests
+        # that fail.
         passed = event.outcome == "passed" and event.expected
         self._write("passed" if passed else event.outcome, test)
 
     def _write(self, outcome: str, test) -> None:
-        # nose2 puts the parameters of a table row on lines of their own.
+        # nose2 adds the parameters of a parameterised test on further lines.
         name = test.id().splitlines()[0]
         self._file.write(json.dumps([outcome, name]) + "\n")
 
--- a/tools/ci.py
+++ b/tools/ci.py
@@ -1,9 +1,9 @@
-"""What CI runs: the tests, the linter, and whether generated files are current.
+"""Runs CI: the tests, the linter, and checks that generated files are current.
 
-Ends with the line ``N passed, N failed``, in which each check counts like a test. The
-exit status is 0 where nothing failed but the tests listed in KNOWN-RED.txt.
+Ends with the line ``N passed, N failed``, in which each check counts as a test. The
+exit status is 0 if no tests failed other than those listed in KNOWN-RED.txt.
 
-Runs on a bare Python 3.11: ``make test`` sets up everything else.
+Needs only Python 3.11: ``make test`` installs everything else.
 """
 
 import json
@@ -29,14 +29,14 @@
 
 @dataclass
 class Results:
-    """What passed and what failed so far."""
+    """Number of passed and names of failed tests and checks."""
 
     passed: int
     failed: list[str]
 
 
 def run(command: list[str], **environment: str) -> int:
-    """Run a command in the repository, its output streamed; return its status."""
+    """Run a command in the repository without capturing output; return its status."""
     print(f"== {' '.join(command)}", flush=True)
     try:
         return subprocess.run(
@@ -51,7 +51,7 @@
 
 
 def run_tests() -> Results:
-    """Run the README's test command and read its counts."""
+    """Run ``make test`` and read its results."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "results.json"
         status = run(
@@ -69,7 +69,7 @@
 
 
 def run_checks(results: Results) -> None:
-    """Run the checks that follow the tests."""
+    """Run the checks and add their outcomes to the results."""
     for name, command in CHECKS.items():
         if run(command) == 0:
             results.passed += 1
@@ -77,21 +77,21 @@
             results.failed.append(name)
 
 
-def sort_out(results: Results, known: list[KnownRed]) -> list[str]:
-    """Print the known failures and return those that are not known."""
-    listed = {line.test: line for line in known}
+def unknown_failures(results: Results, known: list[KnownRed]) -> list[str]:
+    """Print the known failures and return the unknown ones."""
+    known_by_test = {line.test: line for line in known}
     for name in results.failed:
-        if name in listed:
-            line = listed[name]
+        if name in known_by_test:
+            line = known_by_test[name]
             print(f"known red: {name}: {line.cause} (issue {line.issue})")
-    for name in listed:
+    for name in known_by_test:
         if name not in results.failed:
             print(f"known red, but didn't fail: {name}; take it off KNOWN-RED.txt")
-    return [name for name in results.failed if name not in listed]
+    return [name for name in results.failed if name not in known_by_test]
 
 
 def main() -> int:
-    """Run everything and print the closing line."""
+    """Run tests and checks and print the summary."""
     results = run_tests()
     run_checks(results)
     try:
@@ -100,7 +100,7 @@
         print(exc)
         results.failed.append("KNOWN-RED.txt")
         known = []
-    unknown = sort_out(results, known)
+    unknown = unknown_failures(results, known)
     for name in unknown:
         print(f"failed: {name}")
     print(f"{results.passed} passed, {len(results.failed)} failed", flush=True)
--- a/tools/document_settings.py
+++ b/tools/document_settings.py
@@ -1,7 +1,6 @@
-"""Write the page about the settings from their schema.
+"""Generates the settings page from the settings schema.
 
-With ``--check`` nothing is written: the exit status is 1 where the page is not what
-the schema gives.
+With ``--check`` nothing is written; the exit status is 1 if the page is out of date.
 """
 
 import json
@@ -75,7 +74,7 @@
 
 
 def write_page(schema: Schema) -> str:
-    """Return the whole page."""
+    """Return the complete page."""
     definitions = schema["$defs"]
     parts = [INTRODUCTION]
     for name, field in definitions["Settings"]["properties"].items():
@@ -90,7 +89,7 @@
 
 
 def write_section(section: str, definition: Schema, definitions: Schema) -> str:
-    """Return the part about one section: a sentence and a table of its keys."""
+    """Return the text about one section: its purpose and a table of its keys."""
     _, _, purpose = definition["description"].partition(": ")
     lines = [
         f"## `[{section}]`",
@@ -115,11 +114,11 @@
     "data_center": "Data center that the host is in.",
     "owner": "Organisation that the caller belongs to.",
 }
-"""For keys whose schema has only a type."""
+"""Descriptions of keys that have none in the schema."""
 
 
 def write_default(field: Schema, required: bool) -> str:
-    """Return the default of a key as it would stand in the file."""
+    """Return the default of a key as it is written in a settings file."""
     if required:
         return "required"
     match field["default"]:
@@ -132,14 +131,14 @@
 
 
 def write_type(field: Schema) -> str:
-    """Return what a key takes, with its bounds."""
+    """Return the type of a key's value, with its bounds."""
     match field:
         case {"enum": values}:
             return ", ".join(f"`{value}`" for value in values)
         case {"pattern": _}:
             return "64 hex digits"
-        case {"minLength": least}:
-            return f"text of {least} characters or more"
+        case {"minLength": min_length}:
+            return f"text of {min_length} characters or more"
         case {"type": "integer"}:
             return f"whole number{write_bounds(field)}"
         case {"type": "number"}:
@@ -162,7 +161,7 @@
 
 
 def main() -> int:
-    """Write the page, or compare it with ``--check``."""
+    """Write the page, or check it with ``--check``."""
     page = write_page(json.loads(SCHEMA.read_text()))
     if "--check" not in sys.argv:
         PAGE.write_text(page)
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,8 +1,8 @@
-"""Generate the typed messages and settings from the JSON Schemas.
+"""Generates the typed messages and settings from the JSON schemas.
 
 Each ``schemas/NAME.json`` becomes ``bronzepoint_schema/generated/NAME.py``. With
-``--check`` nothing is written: the exit status is 1 where a committed module is not
-what its schema gives.
+``--check`` nothing is written; the exit status is 1 if a committed module is out of
+date.
 """
 
 import hashlib
@@ -33,7 +33,7 @@
 
 
 def generate_module(schema: Path, target: Path) -> None:
-    """Write the module that one schema gives."""
+    """Generate the module of one schema."""
     generator = Path(sys.executable).parent / GENERATOR[0]
     command = [str(generator), *GENERATOR[1:]]
     command += ["--input", str(schema), "--output", str(target)]
@@ -41,13 +41,19 @@
 
 
 def tidy(source: str, strict: bool, array_like: bool) -> str:
-    """Give each optional field a plain default, and let strict types refuse extras.
-
-    A field with a default is never left unset, so the union with UnsetType goes. A
-    schema that says ``additionalProperties: false`` describes what people write: a
-    misspelt key must be an error there, not a silent default. One that says
-    ``x-array-like: true`` describes messages between hosts, which go without their
-    field names: those would be over half of the bytes.
+    """Post-process the generated source of a module.
+
+    Optional fields get a plain default; as they are then never unset, the union with
+    UnsetType is removed.
+
+    Args:
+        source: Generated source.
+        strict: Reject unknown fields, for schemas with ``additionalProperties: false``.
+            These describe files written by people, where a misspelt key must be an
+            error instead of silently using a default.
+        array_like: Encode structs without field names, for schemas with
+            ``x-array-like: true``. These describe messages between hosts, in which the
+            names would take more than half of the bytes.
     """
     source = re.sub(r"\s*\|\s*UnsetType", "", source)
     source = source.replace("= UNSET", "= None")
@@ -59,7 +65,7 @@
 
 
 def format_modules() -> None:
-    """Sort the imports and format what was generated."""
+    """Sort the imports of the generated modules and format them."""
     ruff = str(Path(sys.executable).parent / "ruff")
     options = ["--isolated", "--quiet", str(TARGET)]
     subprocess.run([ruff, "check", "--fix", "--select", "F,I", *options], check=True)
@@ -72,7 +78,7 @@
 
 
 def digest_lines() -> str:
-    """Return one line for each schema and its module, with both digests."""
+    """Return a line for each schema with its digest and that of its module."""
     lines = []
     for schema in sorted(SCHEMAS.glob("*.json")):
         module = TARGET / f"{schema.stem}.py"
@@ -84,7 +90,7 @@
 def check() -> int:
     """Compare schemas and modules with the digests of the last generation.
 
-    This needs no generator, so it passes where none can be installed.
+    This also works where the generator isn't installed.
     """
     recorded = DIGESTS.read_text() if DIGESTS.exists() else ""
     if recorded == digest_lines():
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,6 +1,6 @@
-"""KNOWN-RED.txt: tests that fail for a known fault and don't fail CI.
+"""Reads KNOWN-RED.txt, the list of tests that may fail without failing CI.
 
-Each line reads ``TEST, CAUSE, ISSUE``; three lines at most.
+Each line has the form ``TEST, CAUSE, ISSUE``; at most three lines are allowed.
 """
 
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 
 class KnownRedError(Exception):
-    """KNOWN-RED.txt has too many lines, or one that can't be understood."""
+    """KNOWN-RED.txt has too many lines or a malformed one."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One failing test and why it may fail for now."""
+    """One test that may fail, and why."""
 
     test: str
     cause: str
@@ -23,16 +23,16 @@
 
 
 def read_known_red(path: Path) -> list[KnownRed]:
-    """Read the file; a missing one says that no test may fail.
+    """Read the file; if it is missing, no test may fail.
 
     Raises:
-        KnownRedError: Too many lines, or a line without its three parts.
+        KnownRedError: The file has too many lines, or one without its three parts.
     """
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
-        problem = f"{path.name} has {len(lines)} lines; mend tests until {MAX_LINES}"
+        problem = f"{path.name} has {len(lines)} lines; repair tests until {MAX_LINES}"
         raise KnownRedError(f"{problem} are left")
     return [_parse_line(path, line) for line in lines]
 
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -1,9 +1,10 @@
-"""Adds up where requests were lost or late, from the logs that a run prints.
+"""Counts why requests failed or were late, from the logs of a run.
 
     python tools/lost_worth.py LOG [LOG…]
 
-A log is what the bench prints with `--log`, or the standard output of entry hosts. Each
-request counts once, at the host that its caller asked, under the first cause that fits.
+A log is the benchmark's output with `--log`, or the standard output of entry hosts.
+Each request counts once, at the host that received it from the caller, under the first
+cause that applies.
 """
 
 import json
@@ -13,14 +14,14 @@
 from collections.abc import Iterator
 
 PLAIN = "-"
-"""Kind of requests that are no streams: they have no longest pause."""
+"""Kind shown for requests that aren't streams, which have no limit on pauses."""
 WINDOW = 4.0
-"""Seconds of a day that one column of the second table covers."""
+"""Seconds covered by one column of the second table."""
 LINE = re.compile(r"^\s*(-?[\d.]+)?\s*(\S+ )?(\{.*\})\s*$")
 
 
 def lines(path: str) -> Iterator[tuple[float, dict]]:
-    """Return the lines that tell a request's end, with the time of the run."""
+    """Yield the log lines about the end of a request, each with its time in the run."""
     with open(path) as file:
         for text in file:
             match = LINE.match(text)
@@ -30,7 +31,7 @@
 
 
 def cause(line: dict) -> str:
-    """Return why a request was not answered whole and in time; empty: it was."""
+    """Return why a request failed or was late; empty if neither."""
     outcome, first = line["outcome"], line["first_event"]
     if not outcome.startswith("answered"):
         tries = line["tries"]
@@ -48,7 +49,7 @@
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the table by kind of request and the table by time of arrival."""
     kinds: dict[str, Counter] = {}
     windows: dict[str, Counter] = {}
     for path in sys.argv[1:]:
@@ -58,8 +59,8 @@
             kind = f"rank {line['rank']}" if line["max_gap"] else PLAIN
             why = cause(line)
             kinds.setdefault(why, Counter())[kind] += 1
-            begun = int((at - line["seconds"]) // WINDOW * WINDOW)
-            windows.setdefault(why, Counter())[begun] += 1
+            arrival = int((at - line["seconds"]) // WINDOW * WINDOW)
+            windows.setdefault(why, Counter())[arrival] += 1
     for title, table in (("by kind", kinds), ("by second of arrival", windows)):
         columns = sorted({column for row in table.values() for column in row})
         print(f"{title:40}", *(f"{column!s:>7}" for column in columns), "    all")
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,10 +1,10 @@
-"""Run all tests, several modules at once, and count what passed and failed.
+"""Runs test modules in parallel and counts passed and failed tests.
 
-Usage: ``python tools/run_tests.py [MODULE …]``. Each module runs in a process group of
-its own. A test that hangs is ended with a dump of its stacks, and a module that leaves
-processes behind fails. Skipped tests and expected failures count as failed.
+Usage: ``python tools/run_tests.py [MODULE …]``. Each module runs in its own process
+group. A test that hangs is ended with a dump of its stacks, and a module that leaves
+processes running fails. Skipped tests and expected failures count as failed.
 
-The counts go to standard output, and with ``--results FILE`` to a JSON file.
+The counts are printed, and with ``--results FILE`` also written to a JSON file.
 """
 
 import argparse
@@ -22,25 +22,31 @@
 TESTS = ROOT / "tests"
 WORKER = ROOT / "tools" / "_test_worker.py"
 
-HEAVY_MARK = "bronzepoint_emulator.deployment"
-"""Modules that import this start a whole deployment of processes."""
+HEAVY_IMPORT = "bronzepoint_emulator.deployment"
+"""Text in the source of heavy modules, which start a deployment of processes."""
 CORES = os.cpu_count() or 1
 SLOTS = int(os.environ.get("BRONZEPOINT_TEST_SLOTS", min(max(CORES - 2, 3), 10)))
-"""Modules at once, where each is light."""
+"""Number of light modules that run in parallel."""
 HEAVY_SLOTS = 3
-"""Slots of a heavy module: with more deployments at once, or fewer cores for each,
-timeouts would fire from load alone."""
+"""Number of slots that a heavy module takes.
+
+With more deployments in parallel, or fewer cores for each, timeouts would expire from
+the load alone.
+"""
 
 TEST_TIMEOUT = 180.0
-"""Seconds for one test."""
+"""Maximum seconds for one test."""
 MODULE_TIMEOUT = 900.0
-"""Seconds for one module."""
+"""Maximum seconds for one module."""
 LEFTOVER_WAIT = 10.0
-"""Seconds that processes may take to end after their module has."""
-POLL = 0.05
-SHOWN = 20_000
-"""Characters of a failed module's output at its start and as many at its end: a
-process that fails in a loop would fill the log of CI."""
+"""Seconds that processes may take to end after their module has ended."""
+POLL_INTERVAL = 0.05
+"""Seconds between two checks of the running modules."""
+MAX_SHOWN = 20_000
+"""Characters shown from the start and from the end of a failed module's output.
+
+Without a limit, a process that fails in a loop would fill the CI log.
+"""
 
 
 @dataclass
@@ -57,20 +63,20 @@
 
     @property
     def output_path(self) -> Path:
-        """File with what the module prints."""
+        """File with the output of the module."""
         return self.folder / f"{self.name}.out"
 
     @property
     def outcomes_path(self) -> Path:
-        """File with one line for each start and each outcome."""
+        """File with a line for the start and for the outcome of each test."""
         return self.folder / f"{self.name}.outcomes"
 
     def start(self) -> None:
-        """Start the worker, in a process group of its own."""
+        """Start the worker in its own process group."""
         command = [sys.executable, "-X", "faulthandler", str(WORKER), self.name]
         command += [str(self.outcomes_path), str(TEST_TIMEOUT)]
-        # hypothesis draws the same examples each time where CI is set: a verdict must
-        # not depend on the run.
+        # With CI set, hypothesis generates the same examples in every run, so that
+        # results are reproducible.
         environment = {**os.environ, "CI": "true"}
         with self.output_path.open("wb") as output:
             self.process = subprocess.Popen(
@@ -85,7 +91,7 @@
         self.started = time.monotonic()
 
     def poll(self) -> bool:
-        """Return whether the worker has ended; ends it when it takes too long."""
+        """Return whether the worker has ended; kill it if it exceeds its time."""
         if self.process.poll() is not None:
             return True
         if time.monotonic() - self.started > MODULE_TIMEOUT:
@@ -96,40 +102,40 @@
         return False
 
     def finish(self) -> None:
-        """Read the outcomes, and kill what the module left behind."""
+        """Read the outcomes, and kill processes that the module left running."""
         self._read_outcomes()
         if self.process.returncode != 0 and not self.failed:
             status = self.process.returncode
             self.outcomes[f"{self.name} (ended with status {status})"] = "failed"
         if not self.outcomes:
             self.outcomes[f"{self.name} (has no test)"] = "failed"
-        if not self.group_ends():
+        if not self.wait_group_end():
             self.kill()
             self.outcomes[f"{self.name} (left processes behind)"] = "failed"
 
     @property
     def failed(self) -> list[str]:
-        """Tests that did not pass."""
+        """Names of the tests that did not pass."""
         return [name for name, outcome in self.outcomes.items() if outcome != "passed"]
 
     def kill(self, number: int = signal.SIGKILL) -> None:
-        """Send a signal to the worker and all that it has started."""
+        """Send a signal to the worker and all processes started by it."""
         try:
             os.killpg(self.process.pid, number)
         except ProcessLookupError:
             return
 
-    def group_ends(self) -> bool:
-        """Return whether all processes of the group end by themselves."""
+    def wait_group_end(self) -> bool:
+        """Wait for the process group and return whether it ends without a signal."""
         deadline = time.monotonic() + LEFTOVER_WAIT
         while time.monotonic() < deadline:
-            # An ended worker that nobody has asked for still counts as a member.
+            # Reap the worker: until then it still counts as a member of the group.
             self.process.poll()
             try:
                 os.killpg(self.process.pid, 0)
             except ProcessLookupError:
                 return True
-            time.sleep(POLL)
+            time.sleep(POLL_INTERVAL)
         return False
 
     def _read_outcomes(self) -> None:
@@ -138,18 +144,18 @@
         for line in self.outcomes_path.read_text().splitlines():
             outcome, name = json.loads(line)
             if outcome == "start":
-                # Stays so where the worker dies in this test: not passed.
+                # Remains the outcome if the worker dies during this test.
                 self.outcomes.setdefault(name, "hung or crashed")
             elif self.outcomes.get(name) in (None, "hung or crashed", "passed"):
                 self.outcomes[name] = outcome
 
 
 class TestRun:
-    """All modules of one run.
+    """Runs several modules in parallel.
 
     Args:
         modules: Dotted names of the test modules.
-        folder: Where the output of the modules is kept while it runs.
+        folder: Folder for the output of the modules.
         root: Folder from which the modules are imported.
     """
 
@@ -157,22 +163,22 @@
         runs = [
             ModuleRun(name, _count_slots(root, name), folder, root) for name in modules
         ]
-        # The long ones first, so that none is left to run alone at the end.
+        # Heavy modules first, so that none of them runs alone at the end.
         self._waiting = sorted(runs, key=lambda run: (-run.slots, run.name))
         self._running: list[ModuleRun] = []
         self.done: list[ModuleRun] = []
 
     def run(self) -> None:
-        """Run every module; what still runs is killed where this is interrupted."""
+        """Run every module; if interrupted, stop those that are still running."""
         try:
             while self._waiting or self._running:
-                self._start_what_fits()
+                self._start_waiting()
                 self._collect_ended()
-                time.sleep(POLL)
+                time.sleep(POLL_INTERVAL)
         finally:
             self._stop_running()
 
-    def _start_what_fits(self) -> None:
+    def _start_waiting(self) -> None:
         free = SLOTS - sum(run.slots for run in self._running)
         for run in list(self._waiting):
             if run.slots <= free or not self._running:
@@ -191,17 +197,17 @@
             _print_module(run)
 
     def _stop_running(self) -> None:
-        # Terminated first: a deployment's harness ends its processes on SIGTERM.
+        # SIGTERM first, so that the harness of a deployment can end its processes.
         for run in self._running:
             run.kill(signal.SIGTERM)
         for run in self._running:
-            if not run.group_ends():
+            if not run.wait_group_end():
                 run.kill()
 
 
 def _count_slots(root: Path, module: str) -> int:
     source = root.joinpath(*module.split(".")).with_suffix(".py")
-    if source.exists() and HEAVY_MARK in source.read_text():
+    if source.exists() and HEAVY_IMPORT in source.read_text():
         return min(HEAVY_SLOTS, SLOTS)
     return 1
 
@@ -217,14 +223,16 @@
 
 
 def _shorten(text: str) -> str:
-    left_out = len(text) - 2 * SHOWN
+    left_out = len(text) - 2 * MAX_SHOWN
     if left_out <= 0:
         return text
-    return f"{text[:SHOWN]}\n… {left_out} characters left out …\n{text[-SHOWN:]}"
+    return (
+        f"{text[:MAX_SHOWN]}\n… {left_out} characters left out …\n{text[-MAX_SHOWN:]}"
+    )
 
 
 def find_modules() -> list[str]:
-    """Return the dotted name of each test module."""
+    """Return the dotted names of all test modules."""
     return sorted(f"tests.{path.stem}" for path in TESTS.glob("test_*.py"))
 
 
@@ -233,7 +241,7 @@
 
 
 def main() -> int:
-    """Run the tests and return the exit status: 0 where all passed."""
+    """Run the tests and return the exit status, which is 0 if all passed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("modules", nargs="*", help="such as tests.test_logs")
     parser.add_argument("--results", type=Path, help="JSON file for the counts")
