--- a/packages/cli/src/bronzepoint_cli/commands/config.py
+++ b/packages/cli/src/bronzepoint_cli/commands/config.py
@@ -33,7 +33,7 @@
     except SettingsErrorGroup as group:
         faults = list(group.exceptions)
         if json:
-            print_json([_plain(fault) for fault in faults])
+            print_json([_fault_fields(fault) for fault in faults])
         else:
             for fault in faults:
                 print(fault)
@@ -48,7 +48,7 @@
     print(f"peers: {len(settings.peers)}; voters: {names}")
 
 
-def _plain(fault: object) -> dict[str, str]:
+def _fault_fields(fault: object) -> dict[str, str]:
     keys = ("file", "section", "key", "problem", "remedy")
     return {key: getattr(fault, key) for key in keys}
 
--- a/packages/cli/src/bronzepoint_cli/commands/load.py
+++ b/packages/cli/src/bronzepoint_cli/commands/load.py
@@ -29,6 +29,7 @@
 from bronzepoint_schema.generated.admin import DirectoryAnswer
 
 PERCENTILES = (50.0, 95.0, 99.0, 100.0)
+"""Latency percentiles shown in the report, in percent."""
 
 
 class LatencyRow(msgspec.Struct):
--- a/packages/cli/src/bronzepoint_cli/explain/_causes.py
+++ b/packages/cli/src/bronzepoint_cli/explain/_causes.py
@@ -103,22 +103,22 @@
     ended = [end for note in tries if (end := _try_end(note))]
     if outcome.startswith("refused_"):
         reason = outcome.removeprefix("refused_")
-        return f"not run: {REFUSALS.get(reason, reason)}{_after(ended)}"
+        return f"not run: {REFUSALS.get(reason, reason)}{_prior_tries(ended)}"
     match outcome:
         case "caller_left":
             return "the caller closed its connection"
         case "deadline" if not fields.get("sends"):
             return "its time was over before there was room for it"
         case "deadline":
-            return f"its time was over before the answer was whole{_after(ended)}"
+            return f"its time was over before the answer was whole{_prior_tries(ended)}"
         case "may_have_run" | "stream_broken":
             # The last try may have been answered without the rest of the stream; then
             # the failed try before it is the cause.
             failed = [end for end in ended if end != "answered"] or ["unanswered"]
-            said = TRY_ENDS.get(failed[-1], failed[-1])
+            cause = TRY_ENDS.get(failed[-1], failed[-1])
             if failed[-1] == "cut" and _crashed(timeline, tries):
-                said = "its target crashed"
-            return f"{said}; no further run brought it"
+                cause = "its target crashed"
+            return f"{cause}; no further run brought it"
     return _cause_of_answer(fields, outcome, ended)
 
 
@@ -138,7 +138,7 @@
     first, objective = fields.get("first_event"), fields.get("objective") or 0.0
     first = fields.get("seconds", 0.0) if first is None else first
     gap, max_gap = fields.get("gap") or 0.0, fields.get("max_gap") or 0.0
-    before = _after(ended)
+    before = _prior_tries(ended)
     if outcome.startswith("answered_") and not outcome.endswith("_200"):
         return f"the target answered {outcome.removeprefix('answered_')}"
     if objective and first > objective:
@@ -153,7 +153,7 @@
     return found.group(1) if found else ""
 
 
-def _after(ended: list[str]) -> str:
+def _prior_tries(ended: list[str]) -> str:
     """Return a description of the failed tries; empty if there are none."""
     failed = [end for end in ended if end != "answered"]
     descriptions = []
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -232,10 +232,10 @@
         await site.until(named)
         site.signal("entry")
 
-        async def gone():
+        async def is_removed():
             return (await site.control_call("GET", path)).status == 503
 
-        await site.until(gone)
+        await site.until(is_removed)
 
 
 class TestSignals(unittest.TestCase):
--- a/tests/test_platform_reachable.py
+++ b/tests/test_platform_reachable.py
@@ -44,7 +44,7 @@
     }
 
 
-def lost(**changes):
+def lost_targets(**changes):
     return {"kind": "srv_crash", "at": 2.0, "for_s": 1.0, "share": 0.5, **changes}
 
 
@@ -65,8 +65,8 @@
         self.assertEqual([round(part, 3) for part in parts], [expected] * 3)
 
     @params(
-        (lost(), [1.0, 0.5, 1.0]),
-        (lost(kind="cold_return", zone="y-a"), [1.0, 0.5, 1.0]),
+        (lost_targets(), [1.0, 0.5, 1.0]),
+        (lost_targets(kind="cold_return", zone="y-a"), [1.0, 0.5, 1.0]),
         ({"kind": "evacuate", "at": 2.0, "for_s": 9.0, "zone": "y-a"}, [1.0, 0.5, 0.5]),
         ({"kind": "scale_in", "at": 4.0, "share": 0.5}, [1.0, 1.0, 0.5]),
         ({"kind": "disk_slow", "at": 2.0, "for_s": 2.0}, [1.0, 1.0, 1.0]),
@@ -77,7 +77,7 @@
         self.assertEqual(parts, expected)
 
 
-class TestFill(unittest.TestCase):
+class TestServingOrder(unittest.TestCase):
     def test_most_valuable_requests_are_served_first(self):
         kinds = [Kind("long", 3.0, 300.0, ()), Kind("short", 2.0, 100.0, ())]
         regions = [Region("x", {"long": 2.0, "short": 2.0}, 500.0)]
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -40,7 +40,7 @@
     subprocess.run(command, check=True)
 
 
-def tidy(source: str, strict: bool, array_like: bool) -> str:
+def post_process(source: str, strict: bool, array_like: bool) -> str:
     """Post-process the generated source of a module.
 
     Optional fields get a plain default; as they are then never unset, the union with
@@ -113,7 +113,7 @@
             generate_module(schema, module)
             strict = '"additionalProperties": false' in schema.read_text()
             array_like = '"x-array-like": true' in schema.read_text()
-            source = tidy(module.read_text(), strict, array_like)
+            source = post_process(module.read_text(), strict, array_like)
             (TARGET / f"{schema.stem}.py").write_text(source)
     format_modules()
     DIGESTS.write_text(digest_lines())
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -17,14 +17,14 @@
 """Kind shown for requests that aren't streams, which have no limit on pauses."""
 WINDOW = 4.0
 """Seconds covered by one column of the second table."""
-LINE = re.compile(r"^\s*(-?[\d.]+)?\s*(\S+ )?(\{.*\})\s*$")
+LOG_LINE = re.compile(r"^\s*(-?[\d.]+)?\s*(\S+ )?(\{.*\})\s*$")
 
 
 def lines(path: str) -> Iterator[tuple[float, dict]]:
     """Yield the log lines about the end of a request, each with its time in the run."""
     with open(path) as file:
         for text in file:
-            match = LINE.match(text)
+            match = LOG_LINE.match(text)
             if match is None or '"message":"request"' not in text:
                 continue
             yield float(match[1] or 0.0), json.loads(match[3])
@@ -57,16 +57,16 @@
             if line["forwarded"]:
                 continue
             kind = f"rank {line['rank']}" if line["max_gap"] else PLAIN
-            why = cause(line)
-            kinds.setdefault(why, Counter())[kind] += 1
+            reason = cause(line)
+            kinds.setdefault(reason, Counter())[kind] += 1
             arrival = int((at - line["seconds"]) // WINDOW * WINDOW)
-            windows.setdefault(why, Counter())[arrival] += 1
+            windows.setdefault(reason, Counter())[arrival] += 1
     for title, table in (("by kind", kinds), ("by second of arrival", windows)):
         columns = sorted({column for row in table.values() for column in row})
         print(f"{title:40}", *(f"{column!s:>7}" for column in columns), "    all")
-        for why, row in sorted(table.items(), key=lambda item: -item[1].total()):
+        for reason, row in sorted(table.items(), key=lambda item: -item[1].total()):
             cells = (f"{row[column]:7}" for column in columns)
-            print(f"{why or 'in time':40}", *cells, f"{row.total():7}")
+            print(f"{reason or 'in time':40}", *cells, f"{row.total():7}")
         print()
 
 
