--- a/packages/cli/src/bronzepoint_cli/commands/config.py
+++ b/packages/cli/src/bronzepoint_cli/commands/config.py
@@ -1,4 +1,4 @@
-"""``bronzepoint config``: check settings before a host uses them."""
+"""``bronzepoint config``: check the settings file of a host."""
 
 from pathlib import Path
 from typing import Annotated
@@ -16,7 +16,7 @@
 
 
 class SettingsFaults(CliError):
-    """The file has faults; they were printed."""
+    """The settings file has faults, which were printed."""
 
 
 @app.command("check")
@@ -24,7 +24,7 @@
     file: Annotated[Path, typer.Argument(help="INI file of bronzepointd.")],
     json: JsonOption = False,
 ) -> None:
-    """Check the settings of a host; no host needs to run.
+    """Check the settings of a host, without contacting any host.
 
     Example: bronzepoint config check /etc/bronzepoint/host.ini
     """
@@ -33,7 +33,7 @@
     except SettingsErrorGroup as group:
         faults = list(group.exceptions)
         if json:
-            print_json([_plain(fault) for fault in faults])
+            print_json([_fault_fields(fault) for fault in faults])
         else:
             for fault in faults:
                 print(fault)
@@ -48,7 +48,7 @@
     print(f"peers: {len(settings.peers)}; voters: {names}")
 
 
-def _plain(fault: object) -> dict[str, str]:
+def _fault_fields(fault: object) -> dict[str, str]:
     keys = ("file", "section", "key", "problem", "remedy")
     return {key: getattr(fault, key) for key in keys}
 
--- a/tests/_crashing_site.py
+++ b/tests/_crashing_site.py
@@ -164,7 +164,7 @@
             if role == "entry" and self.processes[name].poll() is None
         ]
         if not found:
-            raise AssertionError(f"no live entry host: {self.told()}")
+            raise AssertionError(f"no live entry host: {self.diagnostics()}")
         return found
 
     def crashes(self):
--- a/tests/test_quarantine_processes.py
+++ b/tests/test_quarantine_processes.py
@@ -19,7 +19,7 @@
     Callers,
     CrashingSite,
 )
-from tests._platform_site import START_PATIENCE
+from tests._platform_site import MAX_START_WAIT
 
 PROPAGATION_TIME = 1.0
 """Seconds after a crash within which it has been reported to all hosts."""
@@ -68,7 +68,7 @@
             await callers.ask(site.addresses()[0], path, POISON)
         return False
 
-    await site.until(is_held, START_PATIENCE)
+    await site.until(is_held, MAX_START_WAIT)
 
 
 class TestQueryOfDeath(unittest.TestCase):
