--- a/packages/node/src/bronzepoint_node/agreement/__init__.py
+++ b/packages/node/src/bronzepoint_node/agreement/__init__.py
@@ -1,4 +1,4 @@
-"""The agreed catalogue: consensus between voters, leases and repair."""
+"""The replicated catalogue: consensus between voters, leases and repair."""
 
 from ._agreement import Agreement, voter_hosts
 from ._errors import (
--- a/packages/node/src/bronzepoint_node/agreement/_agreement.py
+++ b/packages/node/src/bronzepoint_node/agreement/_agreement.py
@@ -1,4 +1,4 @@
-"""The agreed catalogue as the rest of the daemon sees it."""
+"""Interface of the replicated catalogue to the rest of the daemon."""
 
 import uuid
 from pathlib import Path
@@ -21,29 +21,30 @@
 from bronzepoint_schema.generated.settings import Settings
 from bronzepoint_schema.ids import ClusterId, FencingNumber, HostName
 
+from ._delta_encoding import delta_encode
 from ._errors import (
     Invalid,
     SettingsUnsafe,
     VoterWithoutDisk,
 )
-from ._genesis import begin_cluster
+from ._initialisation import initialise_cluster
 from ._proposer import Proposer
-from ._shorten import shorten
 from ._status import AgreementStatus, Role
 from ._voter import Voter
 from ._voter_calls import answer_voter_call
 
-_ASK_TIMEOUT = 2.0
+_QUERY_TIMEOUT = 2.0
+"""Seconds to wait for a voter's answer while the cluster is initialised."""
 _UUID7 = 7
 
 
 class Agreement:
-    """Changes to the catalogue, agreed between the voters.
+    """Commits changes of the catalogue through the consensus of the voters.
 
     Args:
         settings: This host's settings.
         peers: Links to the other hosts.
-        catalogue: Takes what was agreed and spreads it.
+        catalogue: Applies committed changes and sends them to other hosts.
         metrics: Counters.
 
     Raises:
@@ -80,60 +81,61 @@
         catalogue.follow(self)
 
     async def start(self) -> None:
-        """Take part, where this host is a voter.
+        """Start this host's voter, if it is one.
 
         Raises:
-            StorageError: The data folder is damaged, or another process holds it.
+            StorageError: The data folder is damaged or used by another process.
         """
         if self._voter is not None:
             await self._voter.start()
 
     async def close(self) -> None:
-        """Stop taking part."""
+        """Stop this host's voter, if it is one."""
         if self._voter is not None:
             await self._voter.close()
 
     async def propose(self, change: Change, timeout: float) -> Accepted:
-        """Bring a change before the leader and return once it is accepted.
+        """Send a change to the leader and return once it is accepted.
 
         Args:
             change: The change; sending it again with its id is always safe.
             timeout: Seconds to wait.
 
         Raises:
-            Invalid: It contradicts itself.
-            Conflict: Another operator's change of the item came first.
-            NotLeader: No leader was found; the change was not taken.
+            Invalid: The change contradicts itself.
+            Conflict: Another operator's change of the item was accepted first.
+            NotLeader: No leader was found; the change was not accepted.
             NoQuorum: The outcome is unknown.
-            ChangeExpired: It is too old to tell whether it was applied.
+            ChangeExpired: Its outcome is no longer kept, so it may have been applied.
         """
         problems = change_problems(change)
         if problems:
             raise Invalid(problems)
         if isinstance(change.op, Put):
             former = self._catalogue.view.find(change.op.item)
-            change = shorten(change, former)
+            change = delta_encode(change, former)
         return await self._proposer.propose(change, timeout)
 
     def lease(self) -> FencingNumber | None:
-        """Return the fencing number while this host may act as leader, else None.
+        """Return the fencing number while this host holds the leader lease, else None.
 
-        Call it right before each act: a process that was frozen between the check and
-        the act would otherwise act after another leader has begun.
+        Call it right before each action. If the process is suspended between the check
+        and the action, another leader may have been elected in the meantime.
         """
         return self._voter.lease() if self._voter is not None else None
 
     def leader(self) -> HostName:
-        """Return the leader known here; empty: none."""
+        """Return the leader known to this host; empty if none is known."""
         if self._voter is not None and self._voter.leader:
             return self._voter.leader
         return self._proposer.leader
 
     def leader_age(self) -> float | None:
-        """Return how old the leader's knowledge is, in seconds.
+        """Return the staleness of the leader's catalogue.
 
         Returns:
-            None where this host doesn't lead, or its catalogue is behind its log.
+            Seconds since the lease expired, 0 while it is valid; None if this host
+            isn't the leader or its catalogue is behind its log.
         """
         if self._voter is None:
             return None
@@ -147,7 +149,7 @@
         return self._voters
 
     def status(self) -> AgreementStatus:
-        """Return what operators see of the agreement on this host."""
+        """Return the status of this host for operators."""
         if self._voter is not None:
             return self._voter.status()
         return AgreementStatus(
@@ -158,23 +160,24 @@
         )
 
     async def initialise(self) -> ClusterId:
-        """Begin the cluster with the voters of the settings, all of them blank.
+        """Initialise the cluster with the voters named in the settings.
 
-        Running it again, also from two hosts at once, is harmless: the first voters
-        follow from the settings and the storages, and a storage begins one cluster.
+        Running it again, also from two hosts at once, is harmless: the initial voters
+        are determined by the settings and the storage ids, and each storage joins
+        only one cluster.
 
         Raises:
             InitialiseRefused: Not every voter answered, or they disagree.
         """
-        return await begin_cluster(self._voters, self._ask)
+        return await initialise_cluster(self._voters, self._query)
 
-    async def _ask(
+    async def _query(
         self, host: HostName, request: IdentityRequest | GenesisRequest
     ) -> IdentityReply | None:
         if host == self._name and self._voter is not None:
             return await self._handle(host, request)
         try:
-            return await self._peers.call(host, Area.AGREEMENT, request, _ASK_TIMEOUT)
+            return await self._peers.call(host, Area.AGREEMENT, request, _QUERY_TIMEOUT)
         except PeerError:
             return None
 
@@ -194,7 +197,7 @@
 
 
 def voter_hosts(settings: Settings) -> list[HostName]:
-    """Return the hosts that the settings name as voters, in order."""
+    """Return the hosts that the settings name as voters, sorted by name."""
     hosts = {HostName(name) for name, peer in settings.peers.items() if peer.voter}
     if settings.host.voter:
         hosts.add(settings.host.name)
@@ -202,7 +205,7 @@
 
 
 def change_problems(change: Change) -> list[str]:
-    """Return what is wrong with a change, a sentence with its remedy each."""
+    """Return the problems of a change, one sentence with a remedy for each."""
     problems = []
     if not _is_uuid7(change.change_id):
         problems.append(
@@ -212,12 +215,14 @@
     if not change.operator:
         problems.append("The change names no operator: give one.")
     if change.version < 1:
-        problems.append("The version must be at least 1: one more than the present.")
+        problems.append(
+            "The version must be at least 1: one more than the current one."
+        )
     match change.op:
         case Put(item=item):
             problems.extend(find_contradictions(item))
         case PatchTargets():
-            # It can't be checked for contradictions without the whole item.
+            # A patch can't be checked for contradictions without the whole item.
             problems.append("A change holds the whole item: send it with 'put'.")
     return problems
 
--- a/packages/node/src/bronzepoint_node/agreement/_shorten.py
+++ b/packages/node/src/bronzepoint_node/agreement/_delta_encoding.py
@@ -1,4 +1,4 @@
-"""Changes that carry only what differs."""
+"""Encoding of item changes as differences to the previous version."""
 
 import msgspec
 
@@ -7,16 +7,16 @@
 from bronzepoint_schema.generated.catalogue import CatalogueItem
 
 
-def shorten(change: Change, former: CatalogueItem | None) -> Change:
+def delta_encode(change: Change, former: CatalogueItem | None) -> Change:
     """Return a change that carries only the targets that differ.
 
-    One target of a model with 1,800 comes or goes: the whole item is 200 KB, for the
-    leader and from there for each voter. A patch holds for one version of the item
-    alone, and it is applied only if that is still the present one.
+    A model with 1,800 targets is an item of 200 KB, which would be sent to the leader
+    and to each voter whenever one target is added or removed. A patch is valid for
+    one version of the item and is applied only if that is still the current one.
 
     Args:
         change: The change.
-        former: The item that it was made for, as it is known here.
+        former: The item before the change, as this host knows it.
     """
     if not isinstance(change.op, Put) or former is None:
         return change
--- a/packages/node/src/bronzepoint_node/agreement/_documents.py
+++ b/packages/node/src/bronzepoint_node/agreement/_documents.py
@@ -1,4 +1,4 @@
-"""Changes of the catalogue document: what of them the log holds, and what they do."""
+"""Changes of the catalogue document: their encoding in the log and their effect."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 def document_version(op: DocumentOp) -> int:
-    """Return the version that a change leads to."""
+    """Return the document version after a change."""
     match op:
         case ReplaceDocument(version=version):
             return version
@@ -22,33 +22,33 @@
             return delta.version
 
 
-def pack_document(version: int, content: bytes) -> PatchDocument:
-    """Return a whole document as it travels to the leader: a twentieth of its bytes."""
+def compress_document(version: int, content: bytes) -> PatchDocument:
+    """Return a whole document compressed for the leader, to about 1/20 of its size."""
     return PatchDocument(make_delta(version, content))
 
 
-def shorten_document(change: Change, newest: DocumentHistory) -> Change:
-    """Return a change of the document that carries only what differs.
+def delta_encode_document(change: Change, newest: DocumentHistory) -> Change:
+    """Return a change of the document that carries only the difference.
 
-    Kept and sent whole, each change costs every voter the size of the catalogue, on its
-    disk, in its memory and on its links.
+    A whole document in each entry would cost every voter the size of the catalogue on
+    disk, in memory and on the network.
 
     Args:
         change: The change.
-        newest: What is held where the log ends: the change will be applied to it.
+        newest: Document after all entries of the log; the change is applied to it.
     """
     version = document_version(change.op)
     if version > newest.version:
         content = _content(change.op, newest)
         delta = make_delta(version, content, newest.version, newest.content)
     else:
-        # Overtaken where it stands in the log, so it is accepted without a look.
+        # A newer version precedes it in the log, so its content is never applied.
         delta = DocumentDelta(version, NO_BASE, 0, b"")
     return msgspec.structs.replace(change, op=PatchDocument(delta))
 
 
 def apply_document(held: DocumentHistory, op: DocumentOp) -> bool:
-    """Take a change of the document; False where it is overtaken."""
+    """Apply a change of the document; return False if a newer version is held."""
     if document_version(op) <= held.version:
         return False
     match op:
--- a/packages/node/src/bronzepoint_node/agreement/_errors.py
+++ b/packages/node/src/bronzepoint_node/agreement/_errors.py
@@ -1,20 +1,20 @@
-"""Typed errors of the agreed catalogue."""
+"""Errors of the replicated catalogue."""
 
 from bronzepoint_schema.ids import ChangeId, HostName, OperatorName
 
 
 class AgreementError(Exception):
-    """Base of all errors of the agreed catalogue.
+    """Base class of all errors of the replicated catalogue.
 
     Attributes:
-        ran_unknown: True where the change may still be applied.
+        ran_unknown: Whether the change may still be applied.
     """
 
     ran_unknown = False
 
 
 class NotLeader(AgreementError):
-    """No leader could be reached; the change was certainly not taken."""
+    """No leader could be reached; the change was certainly not accepted."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -25,7 +25,7 @@
 
 
 class NoQuorum(AgreementError):
-    """The change was handed over but no outcome came back in time."""
+    """The change was sent to a voter but its outcome didn't arrive in time."""
 
     ran_unknown = True
 
@@ -51,18 +51,18 @@
 
 
 class ChangeExpired(AgreementError):
-    """The change is older than the outcomes that are kept."""
+    """The change is older than the outcomes that voters keep."""
 
     def __init__(self, change_id: ChangeId) -> None:
         super().__init__(
-            f"Change {change_id} is too old: whether it was applied before can no "
-            "longer be told. Remedy: check the clock of the operator's machine, read "
+            f"Change {change_id} is too old: it is no longer known whether it was "
+            "applied. Remedy: check the clock of the operator's machine, read "
             "the item, and send a new change if it is still wanted."
         )
 
 
 class Invalid(AgreementError):
-    """The change contradicts itself; it was not taken.
+    """The change contradicts itself; it was not accepted.
 
     Args:
         problems: One sentence with a remedy for each contradiction.
@@ -74,7 +74,7 @@
 
 
 class SettingsUnsafe(AgreementError):
-    """The times in the settings would let two leaders act at once."""
+    """The times in the settings would allow two leaders to act at the same time."""
 
     def __init__(self, lease: float, election_timeout: float) -> None:
         super().__init__(
@@ -89,7 +89,7 @@
 
     def __init__(self, host: HostName) -> None:
         super().__init__(
-            f"Host {host} is a voter without a data folder: it could not remember "
+            f"Host {host} is a voter without a data folder: it could not store "
             "its votes. Remedy: set [host] data_folder, or voter = false."
         )
 
--- a/packages/node/src/bronzepoint_node/agreement/_leadership.py
+++ b/packages/node/src/bronzepoint_node/agreement/_leadership.py
@@ -1,4 +1,4 @@
-"""One leader's term: replication, commit, lease and repair of voters."""
+"""One term of a leader: replication, commit, lease and changes of the voters."""
 
 import time
 import zlib
@@ -33,32 +33,34 @@
 from ._machine import find_voter, replace_storage
 from ._quorum import reached_by_quorum
 from ._status import VoterStatus
-from ._voter_choice import Candidate, choose_voters
+from ._voter_choice import VoterCandidate, select_voters
 
 if TYPE_CHECKING:
     from ._voter import Voter
 
 _NEVER = float("-inf")
 _MAX_ENTRIES = 32
+"""Log entries in one append request."""
 _SNAPSHOT_TIMEOUT = 10.0
-_LEARNER_PATIENCE = 20.0
-"""Seconds of silence after which a host that doesn't vote is followed no more."""
+"""Seconds to wait for the answer to a snapshot."""
+_LEARNER_MAX_WAIT = 20.0
+"""Seconds without an answer after which replication to a learner ends."""
 _encoder = msgspec.msgpack.Encoder()
 _log = get_logger("agreement")
 
 
 @dataclass
 class Progress:
-    """What the leader knows of one other voter.
+    """Replication state of one other voter or learner, kept by the leader.
 
     Attributes:
         host: The host.
         storage: The storage that answered last.
-        next_index: Next position to send; 0: a snapshot must come first.
-        match_index: Last position that the storage is known to hold, synced.
-        acked_at: When the newest request that it answered was sent.
+        next_index: Next position to send; 0 if a snapshot must be sent first.
+        match_index: Last position that the storage is known to have synced.
+        acked_at: When the newest request that it answered was sent, in seconds.
         wake: Set when there is something to send.
-        dropped: True once nothing more is to be sent.
+        dropped: Whether replication to this host has ended.
     """
 
     host: HostName
@@ -71,51 +73,51 @@
 
 
 class Leadership:
-    """The acts of a leader in one term.
+    """Replicates the log, commits entries and manages the voters for one term.
 
     Args:
         voter: The voter that was elected.
         term: The term it was elected for.
 
     Attributes:
-        active: False once another term or a lost quorum has ended it.
+        active: False once a higher term or the loss of the quorum has ended it.
     """
 
     def __init__(self, voter: "Voter", term: Term) -> None:
         self.term = term
         self.active = True
         self._voter = voter
-        self._began = monotonic()
+        self._started_at = monotonic()
         self._first_index = voter.log.last_index + 1
         self._progress: dict[HostName, Progress] = {}
         self._regions: dict[HostName, RegionName] = {}
         self._group: curio.TaskGroup | None = None
-        self._waiting: dict[ChangeId, set[HostName]] = {}
+        self._waiting_hosts: dict[ChangeId, set[HostName]] = {}
 
     async def run(self) -> None:
-        """Lead until the term ends; returns once all its tasks have ended."""
+        """Lead until the term ends and all its tasks have stopped."""
         async with curio.TaskGroup() as group:
             self._group = group
             await self._append(TermBody(self._voter.name))
             for voter in self._voter.known_voters():
-                await self._follow_up(voter.host, voter.storage)
+                await self._start_replication(voter.host, voter.storage)
             while self.active:
-                await self._give_up_without_quorum()
+                await self._step_down_without_quorum()
                 await self._repair_one_voter()
-                await self._seat_learners()
-                self._forget_silent_learners()
+                await self._promote_learners()
+                self._drop_unresponsive_learners()
                 await curio.sleep(self._voter.section.heartbeat)
             await group.cancel_remaining()
 
     async def add_learner(
         self, host: HostName, storage: StorageId, region: RegionName
     ) -> None:
-        """Bring a host up to date that doesn't vote, so that it may be needed."""
+        """Start replication to a host that doesn't vote but may become a voter."""
         self._regions[host] = region
         if self.active and self._group is not None:
-            await self._follow_up(host, storage)
+            await self._start_replication(host, storage)
 
-    async def _follow_up(self, host: HostName, storage: StorageId) -> None:
+    async def _start_replication(self, host: HostName, storage: StorageId) -> None:
         if host == self._voter.name or host in self._progress:
             return
         progress = Progress(host, storage, self._voter.log.last_index)
@@ -123,51 +125,51 @@
         await self._group.spawn(self._replicate, progress)
 
     def stop(self) -> None:
-        """End the term; callers hold the voter's lock."""
+        """End the term; the caller must hold the voter's lock."""
         self.active = False
 
     @property
     def ready(self) -> bool:
-        """True once everything that former leaders committed is applied here."""
+        """Whether all entries committed by former leaders are applied on this host."""
         return self._voter.machine.index >= self._first_index
 
     def lease_until(self) -> float:
-        """Return when the lease ends, by this host's own monotonic clock.
+        """Return when the lease expires, by this host's monotonic clock in seconds.
 
-        A voter that answered a heartbeat lets no other leader be elected for the
-        election timeout. That began after the heartbeat was sent, so counting the
-        lease from the sending can only end it too early.
+        A voter that answered a heartbeat grants no vote to another candidate for the
+        election timeout. That period starts after the heartbeat was sent, so a lease
+        counted from the sending can only expire too early, never too late.
         """
         return self._quorum_contact() + self._voter.section.lease
 
     async def submit(self, change: Change, host: HostName) -> ProposeReply | None:
-        """Bring a change into the log; callers hold the voter's lock.
+        """Append a change to the log; the caller must hold the voter's lock.
 
         Returns:
-            The outcome if it is known already; None: it will be delivered later.
+            The outcome if it is known already, else None: it is delivered later.
         """
         result = self._voter.machine.result(change.change_id)
         if result is not None:
             self._voter.metrics.incr("agreement.resend_answered")
             return ProposeReply(change.change_id, self._voter.name, result)
-        waiting = self._waiting.setdefault(change.change_id, set())
-        first = not waiting
-        waiting.add(host)
-        if first:
+        waiting_hosts = self._waiting_hosts.setdefault(change.change_id, set())
+        is_first = not waiting_hosts
+        waiting_hosts.add(host)
+        if is_first:
             log, machine = self._voter.log, self._voter.machine
             pending = log.entries_after(machine.index, log.last_index - machine.index)
-            short = machine.shorten(change, pending)
-            await self._append_locked(ChangeBody(short))
+            encoded = machine.delta_encode(change, pending)
+            await self._append_locked(ChangeBody(encoded))
         return None
 
     async def deliver(self, change_id: ChangeId, result: ChangeResult) -> None:
-        """Tell the hosts that wait for a change how it ended."""
+        """Send the outcome of a change to the hosts that wait for it."""
         reply = ProposeReply(change_id, self._voter.name, result)
-        for host in self._waiting.pop(change_id, ()):
+        for host in self._waiting_hosts.pop(change_id, ()):
             await self._voter.deliver(host, reply)
 
     def voter_statuses(self) -> list[VoterStatus]:
-        """Return what is known of each voter."""
+        """Return the status of each voter."""
         now = monotonic()
         statuses = []
         for voter in self._voter.machine.voters:
@@ -177,30 +179,33 @@
                 storage = self._voter.log.identity.storage
                 status = VoterStatus(voter.host, voter.storage, storage, last, 0.0)
             else:
-                silent = now - progress.acked_at if progress.acked_at > 0 else -1.0
+                unresponsive_for = (
+                    now - progress.acked_at if progress.acked_at > 0 else -1.0
+                )
                 status = VoterStatus(
                     voter.host,
                     voter.storage,
                     progress.storage,
                     progress.match_index,
-                    round(silent, 3),
+                    round(unresponsive_for, 3),
                 )
             statuses.append(status)
         return statuses
 
     def _quorum_contact(self) -> float:
-        """Return when the newest requests were sent that a quorum has answered."""
+        """Return the send time of the latest requests that a quorum has answered."""
         contacts = {p.storage: p.acked_at for p in self._progress.values()}
         contacts[self._voter.log.identity.storage] = monotonic()
         return reached_by_quorum(contacts, self._voter.voter_sets(), _NEVER)
 
-    async def _give_up_without_quorum(self) -> None:
-        """Stop where no quorum has answered for an election timeout.
+    async def _step_down_without_quorum(self) -> None:
+        """Step down if no quorum has answered for an election timeout.
 
-        A leader whose messages are swallowed would go on taking changes that it can't
-        commit; its callers would wait for an outcome instead of asking elsewhere.
+        A leader whose messages are lost would otherwise continue to accept changes
+        that it can't commit, and the proposing hosts would wait for an outcome instead
+        of querying another voter.
         """
-        contact = max(self._quorum_contact(), self._began)
+        contact = max(self._quorum_contact(), self._started_at)
         if monotonic() - contact > self._voter.section.election_timeout:
             self._voter.metrics.incr("agreement.quorum_lost")
             async with self._voter.lock:
@@ -223,14 +228,15 @@
             await progress.wake.set()
 
     async def _replicate(self, progress: Progress) -> None:
-        """Keep one voter up to date: its task for this term."""
+        """Replicate the log to one host for this term."""
         try:
             await self._replicate_until_stopped(progress)
         except StorageError as exc:
             await self._voter.fail(exc)
         except Exception:
-            # Followed up anew when it asks to join: forgotten here, it would stay
-            # behind for the rest of the term and count as a voter all the same.
+            # Without its entry, replication restarts when the host asks to join. If
+            # the entry stayed, the host would lag behind for the rest of the term
+            # although it counts as a voter.
             _log.exception("replication failed", voter=progress.host)
             self._progress.pop(progress.host, None)
 
@@ -239,16 +245,16 @@
             progress.wake.clear()
             sent_at = monotonic()
             request = self._next_request(progress)
-            reply = await self._exchange(progress, request)
+            reply = await self._send_request(progress, request)
             if isinstance(reply, AppendReply):
                 async with self._voter.lock:
-                    await self._take_reply(progress, reply, sent_at)
+                    await self._process_reply(progress, reply, sent_at)
                 if 0 <= progress.next_index <= self._voter.log.last_index:
                     continue
             async with curio.ignore_after(self._voter.section.heartbeat):
                 await progress.wake.wait()
 
-    async def _exchange(
+    async def _send_request(
         self, progress: Progress, request: AppendRequest | SnapshotInstall
     ) -> object:
         timeout = self._voter.section.election_timeout / 2
@@ -281,7 +287,7 @@
             cluster, self.term, storage, previous, previous_term, commit, entries
         )
 
-    async def _take_reply(
+    async def _process_reply(
         self, progress: Progress, reply: AppendReply, sent_at: float
     ) -> None:
         if not self.active:
@@ -290,8 +296,8 @@
             await self._voter.step_down(reply.term)
             return
         if reply.storage != progress.storage:
-            # The host answers with another data folder: what the former one had
-            # promised and held is gone, so nothing of it may be counted.
+            # The host answers with another data folder. The votes and entries of the
+            # former one are lost, so nothing that it acknowledged may count.
             _log.warning("voter answers with another storage", voter=progress.host)
             self._voter.metrics.incr("agreement.storage_changed")
             progress.storage = reply.storage
@@ -312,20 +318,20 @@
         matches = {p.storage: p.match_index for p in self._progress.values()}
         matches[voter.log.identity.storage] = voter.log.last_index
         reached = int(reached_by_quorum(matches, voter.voter_sets(), 0))
-        # Entries of former terms count only through one of this term: another leader
-        # could still replace them otherwise.
+        # Entries of former terms are committed only together with an entry of this
+        # term; until then another leader could still replace them.
         if reached <= voter.commit_index or voter.log.term_at(reached) != self.term:
             return
         await voter.commit(reached)
         await self._wake_all()
 
     async def _repair_one_voter(self) -> None:
-        """Let a caught-up new storage take the place of a lost one.
+        """Replace a lost storage by the new, caught-up storage of the same host.
 
-        One at a time, with a quorum of the present voters in contact (the lost one
-        can't answer), so each step keeps a quorum in common with the one before. A
-        storage that lacks entries would count towards a quorum while it holds
-        nothing: a second loss just then would lose accepted changes.
+        Storages are replaced one at a time and only with a quorum of the current
+        voters in contact (the lost one can't answer), so consecutive sets of voters
+        share a quorum. A storage that lacks entries must not count towards a quorum:
+        a second loss at that moment would lose accepted changes.
         """
         voter = self._voter
         if not self.ready or len(voter.voter_sets()) > 1:
@@ -333,8 +339,8 @@
         if monotonic() >= self.lease_until():
             return
         for progress in self._progress.values():
-            agreed = find_voter(voter.machine.voters, progress.host)
-            if agreed is None or agreed.storage == progress.storage:
+            current_voter = find_voter(voter.machine.voters, progress.host)
+            if current_voter is None or current_voter.storage == progress.storage:
                 continue
             if not self._is_caught_up(progress):
                 continue
@@ -346,20 +352,21 @@
             await self._append(VotersBody(voters, former))
             return
 
-    async def _seat_learners(self) -> None:
-        """Let caught-up learners vote where voters are missing or gone for good.
+    async def _promote_learners(self) -> None:
+        """Make caught-up learners voters where voters are missing or lost.
 
-        One change at a time, under the same conditions as a repair; see there.
+        Changes are made one at a time, under the conditions that
+        `_repair_one_voter` describes.
         """
         voter = self._voter
-        wanted = voter.section.voters_wanted
-        if not wanted or not self.ready or len(voter.voter_sets()) > 1:
+        desired = voter.section.voters_wanted
+        if not desired or not self.ready or len(voter.voter_sets()) > 1:
             return
         if monotonic() >= self.lease_until():
             return
         former = list(voter.machine.voters)
-        voters = choose_voters(
-            former, self._candidates(former), wanted, voter.section.replace_after
+        voters = select_voters(
+            former, self._candidates(former), desired, voter.section.replace_after
         )
         if voters is None:
             return
@@ -367,44 +374,47 @@
         voter.metrics.incr("agreement.voters_changed")
         await self._append(VotersBody(voters, former))
 
-    def _candidates(self, voters: list[VoterId]) -> list[Candidate]:
+    def _candidates(self, voters: list[VoterId]) -> list[VoterCandidate]:
         own = self._voter.name
         now = monotonic()
         found = [
-            Candidate(
+            VoterCandidate(
                 VoterId(own, self._voter.log.identity.storage),
                 self._voter.region,
-                silent=0.0,
+                unresponsive_for=0.0,
                 caught_up=True,
             )
         ]
         for progress in self._progress.values():
             storage = progress.storage
-            agreed = find_voter(voters, progress.host)
-            if agreed is not None:
-                # A voter's changed storage is a repair, not a new seat.
-                storage = agreed.storage
+            current_voter = find_voter(voters, progress.host)
+            if current_voter is not None:
+                # A voter with another storage is handled by `_repair_one_voter`.
+                storage = current_voter.storage
             found.append(
-                Candidate(
+                VoterCandidate(
                     VoterId(progress.host, storage),
                     self._regions.get(progress.host, RegionName("")),
-                    silent=now - max(progress.acked_at, self._began),
+                    unresponsive_for=now - max(progress.acked_at, self._started_at),
                     caught_up=self._is_caught_up(progress),
                 )
             )
         return found
 
-    def _forget_silent_learners(self) -> None:
-        """Stop sending to hosts that left for good; else they would cost forever."""
+    def _drop_unresponsive_learners(self) -> None:
+        """End replication to learners that no longer answer.
+
+        Otherwise requests to hosts that never return would be sent indefinitely.
+        """
         voters = {v.host for v in self._voter.known_voters()}
         now = monotonic()
         for host, progress in list(self._progress.items()):
-            silent = now - max(progress.acked_at, self._began)
-            if host not in voters and silent > _LEARNER_PATIENCE:
+            unresponsive_for = now - max(progress.acked_at, self._started_at)
+            if host not in voters and unresponsive_for > _LEARNER_MAX_WAIT:
                 progress.dropped = True
                 del self._progress[host]
 
     def _is_caught_up(self, progress: Progress) -> bool:
         voter = self._voter
-        fresh = monotonic() - progress.acked_at < voter.section.lease
-        return fresh and progress.match_index >= voter.commit_index
+        is_recent = monotonic() - progress.acked_at < voter.section.lease
+        return is_recent and progress.match_index >= voter.commit_index
--- a/packages/node/src/bronzepoint_node/agreement/_machine.py
+++ b/packages/node/src/bronzepoint_node/agreement/_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state: what every voter computes from the same log."""
+"""The replicated state machine: the state that every voter computes from the log."""
 
 import heapq
 from collections.abc import Iterable
@@ -47,26 +47,29 @@
     Term,
 )
 
+from ._delta_encoding import delta_encode
 from ._documents import (
     DocumentOp,
     apply_document,
+    delta_encode_document,
     document_version,
-    shorten_document,
 )
-from ._shorten import shorten
 
-RESULTS_KEPT = 20_000
-"""Outcomes kept for resends: a day and a half at 13,000 changes a day, about 6 MB."""
-REMOVED_KEPT = 20_000
-"""Versions kept of items that were removed."""
+MAX_RESULTS = 20_000
+"""Outcomes kept to answer resends.
 
+It covers a day and a half at 13,000 changes a day and takes about 6 MB.
+"""
+MAX_REMOVED = 20_000
+"""Number of removed items whose versions are kept."""
 
-class Applied(msgspec.Struct):
-    """What one log entry did.
+
+class ApplyResult(msgspec.Struct):
+    """Effect of one log entry.
 
     Attributes:
         result: Outcome of the change; None for other entries.
-        delta: What changed in the catalogue; None: nothing.
+        delta: Change of the catalogue; None if it didn't change.
     """
 
     result: ChangeResult | None = None
@@ -76,16 +79,16 @@
 class Machine:
     """The catalogue, its versions and the outcomes of recent changes.
 
-    Nothing here reads a clock or draws a random number: each voter must come to the
-    same state from the same log, also when it replays it a year later.
+    It must be deterministic: it uses neither clocks nor random numbers, so that each
+    voter reaches the same state from the same log, whenever it replays it.
 
     Args:
         cluster: The cluster.
         voters: The first set of voters.
 
     Attributes:
-        documents: The catalogue document; without one the catalogue is kept by item.
-        closed: Data centers whose targets get nothing.
+        documents: The catalogue document; without one, the catalogue is kept by item.
+        closed: Data centers whose targets receive no requests.
     """
 
     def __init__(self, cluster: ClusterId, voters: list[Voter]) -> None:
@@ -100,12 +103,12 @@
         self._versions: dict[ItemKey, StoredVersion] = {}
         self._removed: dict[ItemKey, None] = {}
         self._results: dict[ChangeId, ChangeResult] = {}
-        self._by_age: list[ChangeId] = []
-        self._forgotten = ChangeId("")
+        self._id_heap: list[ChangeId] = []
+        self._newest_evicted = ChangeId("")
 
     @classmethod
     def restore(cls, snapshot: MachineSnapshot) -> "Machine":
-        """Return the state that a snapshot holds."""
+        """Return a state machine restored from a snapshot."""
         machine = cls(snapshot.cluster, snapshot.voters)
         machine.index = snapshot.index
         machine.term = snapshot.term
@@ -117,8 +120,8 @@
             if key not in machine._items:
                 machine._removed[key] = None
         machine._results = {result.change_id: result for result in snapshot.results}
-        machine._by_age = sorted(machine._results)
-        machine._forgotten = snapshot.forgotten
+        machine._id_heap = sorted(machine._results)
+        machine._newest_evicted = snapshot.forgotten
         if snapshot.document is not None:
             document = snapshot.document
             machine.documents = DocumentHistory(document.version, document.content)
@@ -127,14 +130,14 @@
 
     @property
     def document(self) -> ReplaceDocument | None:
-        """Newest catalogue document; None: there is none."""
+        """Newest catalogue document; None if there is none."""
         documents = self.documents
         if documents.version < 0:
             return None
         return ReplaceDocument(documents.version, documents.content)
 
     def snapshot(self) -> MachineSnapshot:
-        """Return the whole state."""
+        """Return a snapshot of the whole state."""
         removed = [self._versions[key] for key in self._removed]
         present = [self._versions[key] for key in self._items]
         return MachineSnapshot(
@@ -146,29 +149,29 @@
             items=list(self._items.values()),
             versions=present + removed,
             results=list(self._results.values()),
-            forgotten=self._forgotten,
+            forgotten=self._newest_evicted,
             document=self.document,
             closed=sorted(self.closed),
         )
 
     def view(self) -> ViewSnapshot:
-        """Return the catalogue for followers."""
+        """Return the catalogue for hosts that follow it."""
         return ViewSnapshot(self.cluster, self.revision, list(self._items.values()))
 
     def result(self, change_id: ChangeId) -> ChangeResult | None:
         """Return the outcome of a change that was applied or refused before.
 
-        Change ids order by their time. Outcomes are forgotten in that order, so an id
-        at or below the newest forgotten one may have been applied: it is refused,
-        since applying it could repeat it.
+        Change ids sort by time, and outcomes are evicted in that order. An id at or
+        below the newest evicted one may have been applied before. It is refused,
+        since it could otherwise be applied twice.
         """
         result = self._results.get(change_id)
-        if result is None and change_id <= self._forgotten:
+        if result is None and change_id <= self._newest_evicted:
             return Expired(change_id)
         return result
 
-    def shorten(self, change: Change, pending: Iterable[LogEntry] = ()) -> Change:
-        """Return a change as the log should hold it.
+    def delta_encode(self, change: Change, pending: Iterable[LogEntry] = ()) -> Change:
+        """Return a change encoded for the log, with only the difference.
 
         Args:
             change: The change.
@@ -177,11 +180,11 @@
         match change.op:
             case ReplaceDocument() | PatchDocument():
                 newest = self._documents_after(pending)
-                return shorten_document(change, newest)
-        return shorten(change, self._items.get(_change_key(change)))
+                return delta_encode_document(change, newest)
+        return delta_encode(change, self._items.get(_change_key(change)))
 
     def _documents_after(self, pending: Iterable[LogEntry]) -> DocumentHistory:
-        """Return what is held once entries are applied."""
+        """Return the document after pending entries are applied."""
         newest = DocumentHistory(self.documents.version, self.documents.content)
         for entry in pending:
             match entry.body:
@@ -191,7 +194,7 @@
                         apply_document(newest, change.op)
         return newest
 
-    def apply(self, entry: LogEntry) -> Applied:
+    def apply(self, entry: LogEntry) -> ApplyResult:
         """Apply the next entry of the log."""
         assert entry.index == self.index + 1, "entries are applied in order"
         self.index = entry.index
@@ -201,44 +204,44 @@
                 return self._apply_change(change)
             case VotersBody(voters=voters):
                 self.voters = voters
-                return Applied()
+                return ApplyResult()
             case TermBody():
-                return Applied()
+                return ApplyResult()
 
-    def _apply_change(self, change: Change) -> Applied:
-        known = self.result(change.change_id)
-        if known is not None:
-            return Applied(known)
+    def _apply_change(self, change: Change) -> ApplyResult:
+        earlier = self.result(change.change_id)
+        if earlier is not None:
+            return ApplyResult(earlier)
         match change.op:
             case ReplaceDocument() | PatchDocument() as op:
                 return self._replace_document(change, op)
             case CloseDataCenter() as op:
                 return self._close_data_center(change, op)
         key = _change_key(change)
-        held = self._versions.get(key)
-        present = held.version if held is not None else 0
-        if change.version != present + 1 or not self._has_meaning(change, key):
-            winner = held.operator if held is not None else OperatorName("")
+        stored = self._versions.get(key)
+        present = stored.version if stored is not None else 0
+        if change.version != present + 1 or not self._can_apply(change, key):
+            winner = stored.operator if stored is not None else OperatorName("")
             result = Conflicted(change.change_id, winner, present)
-            self._remember(result)
-            return Applied(result)
+            self._store_result(result)
+            return ApplyResult(result)
         delta = self._change_item(change, key)
         result = Accepted(change.change_id, self.revision, change.version)
-        self._remember(result)
-        return Applied(result, delta)
+        self._store_result(result)
+        return ApplyResult(result, delta)
 
-    def _replace_document(self, change: Change, op: DocumentOp) -> Applied:
-        """Take a document of a higher version; accept an overtaken one unchanged.
+    def _replace_document(self, change: Change, op: DocumentOp) -> ApplyResult:
+        """Apply a document of a higher version; accept an older one without effect.
 
-        Two documents may come with the same number: the first in the log wins, and
-        the other is accepted like any overtaken one, since hosts may already serve
-        on the first.
+        Of two documents with the same version the first in the log wins. The other
+        is accepted without effect, like an older one, since hosts may already serve
+        the first.
         """
         if apply_document(self.documents, op):
             self.revision = Revision(self.revision + 1)
         return self._accept(change, document_version(op))
 
-    def _close_data_center(self, change: Change, op: CloseDataCenter) -> Applied:
+    def _close_data_center(self, change: Change, op: CloseDataCenter) -> ApplyResult:
         names = {op.data_center}
         closed = self.closed | names if op.closed else self.closed - names
         if closed != self.closed:
@@ -246,13 +249,13 @@
             self.revision = Revision(self.revision + 1)
         return self._accept(change, change.version)
 
-    def _accept(self, change: Change, version: int) -> Applied:
+    def _accept(self, change: Change, version: int) -> ApplyResult:
         result = Accepted(change.change_id, self.revision, version)
-        self._remember(result)
-        return Applied(result)
+        self._store_result(result)
+        return ApplyResult(result)
 
-    def _has_meaning(self, change: Change, key: ItemKey) -> bool:
-        """Tell whether there is something to remove."""
+    def _can_apply(self, change: Change, key: ItemKey) -> bool:
+        """Return whether the change is a put or its item exists."""
         return isinstance(change.op, Put) or key in self._items
 
     def _change_item(self, change: Change, key: ItemKey) -> Delta:
@@ -272,7 +275,7 @@
         self._versions[key] = StoredVersion(
             kind, key.name, change.version, change.operator, self.revision
         )
-        self._forget_removed()
+        self._evict_removed()
         return delta
 
     def _put(self, key: ItemKey, version: int, item: CatalogueItem) -> Delta:
@@ -282,15 +285,15 @@
         self._removed.pop(key, None)
         return make_delta(self.revision, former, item)
 
-    def _remember(self, result: Accepted | Conflicted) -> None:
+    def _store_result(self, result: Accepted | Conflicted) -> None:
         self._results[result.change_id] = result
-        heapq.heappush(self._by_age, result.change_id)
-        while len(self._by_age) > RESULTS_KEPT:
-            self._forgotten = heapq.heappop(self._by_age)
-            del self._results[self._forgotten]
+        heapq.heappush(self._id_heap, result.change_id)
+        while len(self._id_heap) > MAX_RESULTS:
+            self._newest_evicted = heapq.heappop(self._id_heap)
+            del self._results[self._newest_evicted]
 
-    def _forget_removed(self) -> None:
-        while len(self._removed) > REMOVED_KEPT:
+    def _evict_removed(self) -> None:
+        while len(self._removed) > MAX_REMOVED:
             key = next(iter(self._removed))
             del self._removed[key]
             del self._versions[key]
--- a/packages/node/src/bronzepoint_node/agreement/_proposer.py
+++ b/packages/node/src/bronzepoint_node/agreement/_proposer.py
@@ -1,4 +1,4 @@
-"""Bringing a change before the leader, from any host."""
+"""Sends changes from any host to the leader."""
 
 from dataclasses import dataclass, field
 
@@ -21,30 +21,30 @@
 from ._voter import Voter
 
 _RESEND_AFTER = 0.5
-"""Seconds without an answer after which another voter is asked."""
-_PAUSE = 0.1
-"""Seconds before a voter is asked again that knows no leader."""
+"""Seconds without an answer after which the change is sent to another voter."""
+_RETRY_INTERVAL = 0.1
+"""Seconds to wait after a voter that knows no leader or can't be reached."""
 
 
 @dataclass
-class _Pending:
-    """A change whose outcome is awaited here."""
+class _PendingChange:
+    """A change whose outcome this host waits for."""
 
     result: ChangeResult | None = None
     refused_by: HostName | None = None
     leader: HostName = HostName("")
-    news: curio.Event = field(default_factory=curio.Event)
+    updated: curio.Event = field(default_factory=curio.Event)
 
 
 class Proposer:
     """Sends a change to the leader and waits for its outcome.
 
-    Sending it again is harmless: the change id makes it apply once.
+    Sending a change again is harmless: its change id ensures that it is applied once.
 
     Args:
         name: This host.
         voters: Hosts that the settings name as voters.
-        own: This host's voter, if it is one.
+        own_voter: This host's voter, if it is one.
         peers: Links to the other hosts.
         metrics: Counters.
     """
@@ -53,42 +53,42 @@
         self,
         name: HostName,
         voters: list[HostName],
-        own: Voter | None,
+        own_voter: Voter | None,
         peers: Peers,
         metrics: Metrics,
     ) -> None:
         self.leader = HostName("")
         self._name = name
         self.voters = voters
-        self._own = own
+        self._own_voter = own_voter
         self._peers = peers
         self._metrics = metrics
-        self._pending: dict[ChangeId, list[_Pending]] = {}
+        self._pending: dict[ChangeId, list[_PendingChange]] = {}
 
     async def propose(self, change: Change, timeout: float) -> Accepted:
-        """Bring a change before the leader and return once it is durable.
+        """Send a change to the leader and return once it is durable on a quorum.
 
         Raises:
-            NotLeader: No leader was found; the change was not taken.
-            NoQuorum: It was handed over, and its outcome is unknown.
-            Conflict: Another change of the item came first.
-            ChangeExpired: It is too old to tell whether it was applied.
+            NotLeader: No leader was found; the change was not accepted.
+            NoQuorum: It was sent to a voter, and its outcome is unknown.
+            Conflict: Another change of the item was accepted first.
+            ChangeExpired: Its outcome is no longer kept, so it may have been applied.
         """
-        pending = _Pending()
+        pending = _PendingChange()
         waiting = self._pending.setdefault(change.change_id, [])
         waiting.append(pending)
-        unknown = [False]
+        outcome_unknown = [False]
         try:
             async with curio.ignore_after(timeout):
-                await self._try_voters(change, pending, unknown)
+                await self._try_voters(change, pending, outcome_unknown)
         finally:
             waiting.remove(pending)
             if not waiting:
                 self._pending.pop(change.change_id, None)
-        return _outcome(change, pending.result, unknown[0])
+        return _outcome(change, pending.result, outcome_unknown[0])
 
     async def on_reply(self, host: HostName, reply: ProposeReply) -> None:
-        """Take a voter's answer."""
+        """Process a voter's answer to a proposed change."""
         for pending in self._pending.get(reply.change_id, ()):
             if reply.result is not None:
                 pending.result = reply.result
@@ -96,69 +96,82 @@
             else:
                 pending.refused_by = host
                 pending.leader = reply.leader
-            await pending.news.set()
+            await pending.updated.set()
 
     async def deliver(self, host: HostName, reply: ProposeReply) -> None:
-        """Hand the outcome of a change to the host that waits for it."""
+        """Send the outcome of a change to the host that waits for it."""
         if host == self._name:
             await self.on_reply(host, reply)
         else:
             self._peers.post(host, Area.AGREEMENT, reply)
 
     async def _try_voters(
-        self, change: Change, pending: _Pending, unknown: list[bool]
+        self, change: Change, pending: _PendingChange, outcome_unknown: list[bool]
     ) -> None:
-        turn = 0
-        target = self.leader
+        attempt = 0
+        next_host = self.leader
         while pending.result is None:
-            if not target:
-                target = self.voters[turn % len(self.voters)] if self.voters else ""
-                turn += 1
-            if not target or not await self._ask(target, change, pending, unknown):
-                await curio.sleep(_PAUSE)
-            target = pending.leader
+            if not next_host:
+                next_host = (
+                    self.voters[attempt % len(self.voters)] if self.voters else ""
+                )
+                attempt += 1
+            if not next_host or not await self._propose_to(
+                next_host, change, pending, outcome_unknown
+            ):
+                await curio.sleep(_RETRY_INTERVAL)
+            next_host = pending.leader
             pending.leader = HostName("")
 
-    async def _ask(
-        self, host: HostName, change: Change, pending: _Pending, unknown: list[bool]
+    async def _propose_to(
+        self,
+        host: HostName,
+        change: Change,
+        pending: _PendingChange,
+        outcome_unknown: list[bool],
     ) -> bool:
-        """Ask one voter; True where it answered with an outcome or a leader.
+        """Send the change to one voter and wait for its answer.
+
+        A voter that doesn't answer may have accepted the change. From then on the
+        outcome is unknown, whatever other voters answer.
 
-        A request that isn't answered may have been taken: from then on the outcome
-        can only be called unknown, whatever other voters say.
+        Returns:
+            Whether the voter answered with an outcome or the name of a leader.
         """
         pending.refused_by = None
-        pending.news.clear()
+        pending.updated.clear()
         request = ProposeRequest(change)
-        before, unknown[0] = unknown[0], True
-        if not await self._hand_over(host, request):
-            unknown[0] = before
+        previously_unknown, outcome_unknown[0] = outcome_unknown[0], True
+        if not await self._send_proposal(host, request):
+            outcome_unknown[0] = previously_unknown
             return False
         async with curio.ignore_after(_RESEND_AFTER):
             while pending.result is None and pending.refused_by != host:
-                await pending.news.wait()
-                pending.news.clear()
+                await pending.updated.wait()
+                pending.updated.clear()
         if pending.result is not None:
             return True
         if pending.refused_by == host:
-            unknown[0] = before
+            outcome_unknown[0] = previously_unknown
             return bool(pending.leader)
         self._metrics.incr("retry.propose_unanswered")
         self.leader = HostName("")
         return False
 
-    async def _hand_over(self, host: HostName, request: ProposeRequest) -> bool:
+    async def _send_proposal(self, host: HostName, request: ProposeRequest) -> bool:
         if host != self._name:
             return self._peers.post(host, Area.AGREEMENT, request)
-        if self._own is None:
+        if self._own_voter is None:
             return False
-        reply = await self._own.submit(request, self._name)
+        reply = await self._own_voter.submit(request, self._name)
         if reply is not None:
             await self.on_reply(self._name, reply)
         return True
 
 
-def _outcome(change: Change, result: ChangeResult | None, unknown: bool) -> Accepted:
+def _outcome(
+    change: Change, result: ChangeResult | None, outcome_unknown: bool
+) -> Accepted:
     match result:
         case Accepted():
             return result
@@ -166,7 +179,7 @@
             raise Conflict(winner, version)
         case Expired():
             raise ChangeExpired(change.change_id)
-        case _ if unknown:
+        case _ if outcome_unknown:
             raise NoQuorum(change.change_id)
         case _:
             raise NotLeader()
--- a/packages/node/src/bronzepoint_node/agreement/_receiver.py
+++ b/packages/node/src/bronzepoint_node/agreement/_replication_handler.py
@@ -1,4 +1,4 @@
-"""Taking in what a leader sends."""
+"""Handling of the entries and snapshots that a leader sends."""
 
 import zlib
 from typing import TYPE_CHECKING
@@ -23,8 +23,10 @@
 _snapshot_decoder = msgspec.msgpack.Decoder(MachineSnapshot)
 
 
-class Receiver:
-    """The following side of one voter; its callers hold the voter's lock.
+class ReplicationHandler:
+    """Applies a leader's messages to one follower's log.
+
+    Callers of its methods must hold the voter's lock.
 
     Args:
         voter: The voter.
@@ -36,49 +38,49 @@
     async def on_append(
         self, peer: HostName, request: AppendRequest
     ) -> AppendReply | None:
-        """Take in entries; None: the message is dropped."""
+        """Append entries and return the reply, or None to drop the message."""
         voter = self._voter
         log = voter.log
         if not log.identity.cluster:
             return self._reply(False, 0)
         if not voter.is_own_cluster(request.cluster):
             return None
-        if not await self._follow(peer, request):
+        if not await self._accept_leader(peer, request):
             return self._reply(False, log.last_index)
         entries = [e for e in request.entries if e.index > log.base_index]
         previous = max(request.previous_index, log.base_index)
         if request.previous_index >= log.base_index:
             if log.term_at(previous) != request.previous_term:
-                go_on = min(log.last_index, request.previous_index - 1)
-                return self._reply(False, max(go_on, voter.commit_index))
+                resume_at = min(log.last_index, request.previous_index - 1)
+                return self._reply(False, max(resume_at, voter.commit_index))
         last = previous + len(entries)
-        await log.append(self._unknown_entries(entries))
+        await log.append(self._missing_entries(entries))
         await voter.commit(min(request.commit, last))
         return self._reply(True, last)
 
     async def on_snapshot(
         self, peer: HostName, request: SnapshotInstall
     ) -> AppendReply | None:
-        """Take in a snapshot; None: the message is dropped."""
+        """Install a snapshot and return the reply, or None to drop the message."""
         voter = self._voter
         blank = not voter.log.identity.cluster
         if not blank and not voter.is_own_cluster(request.cluster):
             return None
-        if not await self._follow(peer, request):
+        if not await self._accept_leader(peer, request):
             return self._reply(False, voter.log.last_index)
         if voter.log.term_at(request.index) == request.previous_term and not blank:
-            # The log holds it all, and what follows there may have been acknowledged:
-            # a late snapshot must not cut that off.
+            # The log holds all entries of the snapshot. Later entries may have been
+            # acknowledged, so a delayed snapshot must not truncate them.
             await voter.commit(request.index)
         elif request.index > voter.commit_index or blank:
             state = _snapshot_decoder.decode(zlib.decompress(request.state))
-            await voter.take_snapshot(state)
+            await voter.install_snapshot(state)
         return self._reply(True, request.index)
 
-    async def _follow(
+    async def _accept_leader(
         self, peer: HostName, request: AppendRequest | SnapshotInstall
     ) -> bool:
-        """Accept the sender as leader; False where its term is over."""
+        """Accept the sender as leader; return False if its term is outdated."""
         voter = self._voter
         if request.term < voter.log.term:
             return False
@@ -87,14 +89,15 @@
         if request.term > voter.log.term:
             await voter.log.save_vote(request.term, request.storage)
         voter.leader = peer
-        voter.heard_at = monotonic()
-        voter.has_heard_leader = True
+        voter.last_contact_at = monotonic()
+        voter.has_leader_contact = True
         return True
 
-    def _unknown_entries(self, entries: list[LogEntry]) -> list[LogEntry]:
-        """Return the entries from the first one that the log doesn't hold.
+    def _missing_entries(self, entries: list[LogEntry]) -> list[LogEntry]:
+        """Return the entries from the first one on that the log doesn't hold.
 
-        A late duplicate must not cut off entries that were acknowledged after it.
+        Rewriting entries from a delayed duplicate would truncate later entries that
+        were already acknowledged.
         """
         for position, entry in enumerate(entries):
             if self._voter.log.term_at(entry.index) != entry.term:
--- a/packages/node/src/bronzepoint_node/agreement/_seeded_agreement.py
+++ b/packages/node/src/bronzepoint_node/agreement/_seeded_agreement.py
@@ -1,4 +1,4 @@
-"""The agreement of a cluster that forms itself from seeds and keeps one document."""
+"""Agreement on one document in a cluster that is formed from seed hosts."""
 
 from pathlib import Path
 
@@ -44,42 +44,45 @@
     Revision,
 )
 
-from ._documents import pack_document
+from ._documents import compress_document
 from ._errors import InitialiseRefused, NotLeader
-from ._genesis import begin_cluster
+from ._initialisation import initialise_cluster
 from ._proposer import Proposer
 from ._voter import Voter
 from ._voter_calls import answer_voter_call
 
-_ASK_TIMEOUT = 0.6
-"""Seconds to wait for one host: three of the longest trips there and back."""
+_QUERY_TIMEOUT = 0.6
+"""Seconds to wait for one host's answer: three of the longest round trips."""
 _FORM_INTERVAL = 0.2
-"""Seconds between two attempts to form; hosts start within some tenths of a second."""
+"""Seconds between two attempts to form the cluster.
+
+Hosts start within some tenths of a second of each other.
+"""
 _READ_INTERVAL = 0.1
-"""Seconds between two questions who leads, for a read of the newest document."""
+"""Seconds between two attempts to read the newest document from the leader."""
 _JOIN_INTERVAL = 0.5
-"""Seconds between two requests to be followed up by the leader."""
+"""Seconds between two requests to join while no leader replicates to this host."""
 _FIRST_START = "first-start"
-"""Snapshot that says that this folder was empty when the whole system started."""
+"""Name of a snapshot file that marks a folder as empty at the system's first start."""
 
 _log = get_logger("agreement")
 
 
 class SeededAgreement:
-    """One catalogue document and closed data centers, agreed by hosts with disks.
+    """Replicates the catalogue document and closed data centers among hosts with disks.
 
-    The seeds of the first start are the first voters. Any further host with a disk
-    asks to join, is brought up to date, and votes where a seat is free or its holder
-    is gone; see `choose_voters`. A disk that was lost never forms a cluster: only a
-    folder that was empty when the whole system started for the first time does.
+    The seeds of the first start are the initial voters. Any other host with a disk
+    requests to join, receives the log as a learner, and becomes a voter when one is
+    missing or lost; see `select_voters`. A host whose disk was lost never forms a
+    cluster: only a folder that was empty at the first start of the whole system does.
 
     Args:
         name: This host.
         region: Its region.
         folder: Its data folder.
-        seeds: Hosts to ask first.
-        first_start: True where the whole system starts for the first time.
-        section: Times.
+        seeds: Hosts to contact first.
+        first_start: Whether the whole system starts for the first time.
+        section: Intervals and timeouts.
         peers: Links to the other hosts.
         metrics: Counters.
     """
@@ -107,22 +110,22 @@
             seeds,
             section,
             peers,
-            _NoFollowers(),
+            _NoItemCatalogue(),
             metrics,
             self._deliver,
             region,
         )
         self._proposer = Proposer(name, list(seeds), self._voter, peers, metrics)
-        self._silence = section.election_timeout
-        self._turn = 0
+        self._election_timeout = section.election_timeout
+        self._join_attempts = 0
         self._tasks = curio.TaskGroup()
         peers.register(Area.AGREEMENT, AgreementMessage, self._handle)
 
     async def start(self) -> None:
-        """Read the data folder, then form, join or go on.
+        """Read the data folder, then form a cluster, join one or rejoin it.
 
         Raises:
-            StorageError: The folder is damaged, or another process holds it.
+            StorageError: The folder is damaged or used by another process.
         """
         marker = SnapshotFile(self._folder, _FIRST_START)
         if self._first_start and not self._voter.log.exists():
@@ -138,98 +141,101 @@
             last_index=self._voter.log.last_index,
         )
         if may_form and not self._voter.log.identity.cluster:
-            await self._tasks.spawn(self._form)
+            await self._tasks.spawn(self._form_cluster)
         await self._tasks.spawn(self._keep_joined)
 
     async def close(self) -> None:
-        """Stop taking part."""
+        """Stop this host's voter and its tasks."""
         await self._tasks.cancel_remaining()
         await self._voter.close()
 
     @property
     def document(self) -> ReplaceDocument | None:
-        """Newest document known here; another host may hold a newer one."""
+        """Newest document on this host; another host may hold a newer one."""
         return self._voter.machine.document
 
     @property
     def documents(self) -> DocumentHistory:
-        """That document and what led to it."""
+        """The newest document on this host and its recent changes."""
         return self._voter.machine.documents
 
     @property
     def closed(self) -> frozenset[DataCenterName]:
-        """Data centers whose targets get nothing, as known here."""
+        """Data centers whose targets receive no requests, as known to this host."""
         return self._voter.machine.closed
 
     @property
     def revision(self) -> int:
-        """Accepted changes known here."""
+        """Number of accepted changes known to this host."""
         return self._voter.machine.revision
 
     @property
     def failure(self) -> str:
-        """Why this host stopped taking part; empty: it hasn't."""
+        """Why this host's voter has stopped; empty while it runs."""
         return self._voter.failure
 
     def known_hosts(self) -> set[HostName]:
-        """Return the hosts that vote, as known here, and the seeds."""
+        """Return the voters known to this host, and the seeds."""
         return {v.host for v in self._voter.known_voters()} | set(self._seeds)
 
     def leader(self) -> HostName:
-        """Return the leader known here; empty: none."""
+        """Return the leader known to this host; empty if none is known."""
         return self._voter.leader or self._proposer.leader
 
     def confirmed_age(self) -> float | None:
-        """Return seconds since a leader confirmed what is known here; None: it hasn't.
+        """Return the seconds since a leader last confirmed this host's state.
+
+        After a restart a voter doesn't know which entries of its log were committed,
+        so its document may be outdated. Each leader starts its term with an entry of
+        its own: once that is applied, so are all entries committed before.
 
-        After a restart a voter holds entries of which it can't tell whether they were
-        agreed, so its document may be an old one. Each leader begins its term with an
-        entry of its own: once that is applied here, so is all that was agreed before.
+        Returns:
+            None if no leader has confirmed the state since the start.
         """
         if self._voter.lease() is not None:
             return 0.0
         if not self._voter.leader or not self._voter.has_applied_term():
             return None
-        return monotonic() - self._voter.heard_at
+        return monotonic() - self._voter.last_contact_at
 
     async def replace_document(
         self, version: int, content: bytes, timeout: float
     ) -> None:
-        """Propose a document and return once it, or a higher one, is accepted.
+        """Propose a document and return once it, or a higher version, is accepted.
 
         Raises:
-            NotLeader: No leader was found; it was not taken.
+            NotLeader: No leader was found; the document was not accepted.
             NoQuorum: The outcome is unknown; sending it again is harmless.
         """
         if version <= self.documents.version:
-            # What is applied here was agreed, so an overtaken one changes nothing. The
-            # operators' resends of large documents don't trouble the leader.
+            # The applied version is committed, so an older or equal one has no effect.
+            # Returning here spares the leader resends of large documents.
             return
-        await self._propose(pack_document(version, content), timeout)
+        await self._propose(compress_document(version, content), timeout)
 
     async def close_data_center(
         self, data_center: DataCenterName, closed: bool, timeout: float
     ) -> None:
-        """Close a data center's targets to new work, or open it again.
+        """Close a data center's targets to new requests, or open them again.
 
         Raises:
-            NotLeader: No leader was found; it was not taken.
+            NotLeader: No leader was found; the change was not accepted.
             NoQuorum: The outcome is unknown; sending it again is harmless.
         """
         await self._propose(CloseDataCenter(data_center, closed), timeout)
 
     async def read_newest(self, timeout: float) -> ReplaceDocument | None:
-        """Return the document that was the newest at some moment of this call.
+        """Return the document that was the newest one at some time during this call.
 
         Raises:
-            NotLeader: No host could prove in time that it leads.
+            NotLeader: No host proved in time that it holds the leader lease.
         """
         async with curio.ignore_after(timeout):
             while True:
                 held = DocumentHistory(self.documents.version, self.documents.content)
                 reply = await self._read_from(self.leader() or self._name, held.version)
                 if reply is not None and reply.confirmed:
-                    if _bring_up_to_date(held, reply.deltas):
+                    if _apply_deltas(held, reply.deltas):
                         return _as_document(held)
                 elif reply is not None and reply.leader:
                     self._proposer.leader = reply.leader
@@ -241,7 +247,7 @@
             return self._read(held)
         try:
             return await self._peers.call(
-                host, Area.AGREEMENT, ReadRequest(held), _ASK_TIMEOUT
+                host, Area.AGREEMENT, ReadRequest(held), _QUERY_TIMEOUT
             )
         except PeerError:
             self._proposer.leader = HostName("")
@@ -253,8 +259,8 @@
             deltas = documents.since(held)
             if deltas is None:
                 deltas = [documents.whole()]
-        # The lease is looked at after the document: a newer one could be accepted by
-        # another leader only once this lease is over.
+        # The lease is checked after reading the document: another leader can accept a
+        # newer one only after this lease has expired.
         confirmed = self._voter.lease() is not None
         return ReadReply(confirmed, self._voter.leader, documents.version, deltas)
 
@@ -271,68 +277,68 @@
         self._proposer.leader = self.leader()
         await self._proposer.propose(change, timeout)
 
-    async def _form(self) -> None:
-        """Begin the cluster with the seeds, once all of them have answered."""
+    async def _form_cluster(self) -> None:
+        """Initialise the cluster with the seeds once all of them have answered."""
         reason = ""
         while not self._voter.log.identity.cluster:
             if self._name in self._seeds:
                 try:
-                    cluster = await begin_cluster(self._seeds, self._ask)
+                    cluster = await initialise_cluster(self._seeds, self._query)
                     _log.info("cluster formed", cluster=cluster, voters=self._seeds)
                 except InitialiseRefused as exc:
                     if str(exc) != reason:
                         reason = str(exc)
-                        _log.info("not formed yet", reason=reason)
+                        _log.info("cluster not formed yet", reason=reason)
             await curio.sleep(_FORM_INTERVAL)
 
     async def _keep_joined(self) -> None:
-        """Ask to be followed up while no leader does."""
+        """Send join requests while no leader replicates to this host."""
         while True:
             await curio.sleep(_JOIN_INTERVAL)
-            if self._is_followed_up():
+            if self._receives_replication():
                 continue
-            asked = self._next_to_ask()
-            reply = await self._ask_to_join(asked)
-            if reply is not None and reply.leader not in ("", asked):
-                await self._ask_to_join(reply.leader)
+            join_host = self._next_join_host()
+            reply = await self._request_join(join_host)
+            if reply is not None and reply.leader not in ("", join_host):
+                await self._request_join(reply.leader)
 
-    def _is_followed_up(self) -> bool:
-        """Tell whether a leader counts on this host, or it leads itself."""
+    def _receives_replication(self) -> bool:
+        """Return whether this host leads or is a voter with recent leader contact."""
         if self._voter.is_leader:
             return True
-        return self._voter.may_vote() and self._hears_leader()
+        return self._voter.may_vote() and self._has_recent_contact()
 
-    def _hears_leader(self) -> bool:
-        return monotonic() - self._voter.heard_at <= 2 * self._silence
+    def _has_recent_contact(self) -> bool:
+        return monotonic() - self._voter.last_contact_at <= 2 * self._election_timeout
 
-    def _next_to_ask(self) -> HostName:
-        # A host without a vote keeps the name of a leader that is gone, and the next
-        # leader doesn't know of it. Asking only the former one, it would stay behind
-        # for good, and with it the entry hosts that ask it.
-        if self._voter.leader and self._hears_leader():
+    def _next_join_host(self) -> HostName:
+        # A learner still knows the name of a leader that was lost, and the next leader
+        # doesn't know the learner. If it contacted only the lost leader, it would
+        # never catch up, and neither would the entry hosts that query it.
+        if self._voter.leader and self._has_recent_contact():
             return self._voter.leader
         hosts = sorted(self.known_hosts() - {self._name})
-        self._turn += 1
-        return hosts[self._turn % len(hosts)] if hosts else self._name
+        self._join_attempts += 1
+        return hosts[self._join_attempts % len(hosts)] if hosts else self._name
 
-    async def _ask_to_join(self, host: HostName) -> JoinReply | None:
-        """Ask one host; the leader among them follows this one up."""
+    async def _request_join(self, host: HostName) -> JoinReply | None:
+        """Send a join request; a leader that receives it replicates to this host."""
         if host == self._name:
             return None
         request = JoinRequest(self._voter.log.identity.storage, self._region)
         try:
-            return await self._peers.call(host, Area.AGREEMENT, request, _ASK_TIMEOUT)
+            return await self._peers.call(host, Area.AGREEMENT, request, _QUERY_TIMEOUT)
         except PeerError as exc:
-            _log.debug("not joined", asked=host, reason=str(exc))
+            _log.debug("join request failed", asked=host, reason=str(exc))
             return None
 
-    async def _ask(
+    async def _query(
         self, host: HostName, request: IdentityRequest | GenesisRequest
     ) -> IdentityReply | None:
         if host == self._name:
             return await self._handle(host, request)
         try:
-            return await self._peers.call(host, Area.AGREEMENT, request, _ASK_TIMEOUT)
+            return await self._peers.call(host, Area.AGREEMENT, request, _QUERY_TIMEOUT)
         except PeerError:
             return None
 
@@ -354,8 +360,8 @@
         await self._proposer.deliver(host, reply)
 
 
-class _NoFollowers:
-    """Takes the place of the item catalogue: the document is read from the machine."""
+class _NoItemCatalogue:
+    """Stub for the item catalogue: the document is read from the state machine."""
 
     def __init__(self) -> None:
         self.held = Revision(0)
@@ -367,8 +373,8 @@
         self.held = view.revision
 
 
-def _bring_up_to_date(held: DocumentHistory, deltas: list[DocumentDelta]) -> bool:
-    """Go on by what another host has sent; False: it must be asked again."""
+def _apply_deltas(held: DocumentHistory, deltas: list[DocumentDelta]) -> bool:
+    """Apply deltas from another host; return False if they must be requested again."""
     try:
         for delta in deltas:
             held.take(delta)
--- a/packages/node/src/bronzepoint_node/agreement/_status.py
+++ b/packages/node/src/bronzepoint_node/agreement/_status.py
@@ -1,4 +1,4 @@
-"""What operators see of the agreement on one host."""
+"""Status of the agreement on one host, for operators."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class Role(StrEnum):
-    """What a host is to the agreement."""
+    """Role of a host in the agreement."""
 
     proposer = "proposer"
     blank = "blank"
@@ -20,14 +20,16 @@
 
 
 class VoterStatus(msgspec.Struct):
-    """One voter, as the leader sees it.
+    """Status of one voter, as known to the leader.
 
     Attributes:
         host: The host.
-        storage: The storage that counts; it was agreed.
-        found: The storage that answers; another one means that the disk was lost.
-        index: Last position that it holds.
-        silent: Seconds since the request it answered last; negative: never.
+        storage: The storage that is a member of the agreed set of voters.
+        found: The storage that answers; it differs from ``storage`` if the disk was
+            lost.
+        index: Last position of the log that it holds.
+        silent: Seconds since the last request that it answered was sent; negative if
+            it never answered.
     """
 
     host: HostName
@@ -38,20 +40,20 @@
 
 
 class AgreementStatus(msgspec.Struct):
-    """State of the agreement on one host.
+    """Status of the agreement on one host.
 
     Attributes:
-        role: What this host is.
-        leader: Leader known here; empty: none.
-        cluster: The cluster; empty: not initialised, or not known here.
+        role: Role of this host.
+        leader: Leader known to this host; empty if none is known.
+        cluster: The cluster; empty if it isn't initialised or not known.
         storage: This voter's storage; empty on other hosts.
         term: Newest term seen.
         last_index: Last position in this voter's log.
         commit_index: Last position known to be durable on a quorum.
-        revision: Accepted changes.
-        lease_left: Seconds for which this host may act as leader; 0: it may not.
-        voters: The voters; what the leader knows of each.
-        failure: Why this voter has stopped; empty: it hasn't.
+        revision: Number of accepted changes.
+        lease_left: Seconds for which this host may act as leader; 0 if it may not.
+        voters: The voters; with their progress if this host leads.
+        failure: Why this voter has stopped; empty while it runs.
     """
 
     role: Role
--- a/packages/node/src/bronzepoint_node/agreement/_voter.py
+++ b/packages/node/src/bronzepoint_node/agreement/_voter.py
@@ -1,4 +1,4 @@
-"""One voter: its durable log, its votes, and what it applies."""
+"""One voter: its durable log, its votes and its replicated state."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -40,14 +40,14 @@
     Term,
 )
 
-from ._ballot import Ballot
 from ._election import Election
-from ._genesis import cluster_of
+from ._initialisation import derive_cluster_id
 from ._leadership import Leadership
 from ._machine import Machine
 from ._quorum import VoterSets
-from ._receiver import Receiver
+from ._replication_handler import ReplicationHandler
 from ._status import AgreementStatus, Role, VoterStatus
+from ._vote_handler import VoteHandler
 from ._voter_log import VoterLog
 
 Deliver = Callable[[HostName, ProposeReply], Awaitable[None]]
@@ -56,29 +56,32 @@
 
 
 class Voter:
-    """A host that votes on the catalogue, or learns in order to.
+    """A host that votes on the catalogue, or a learner that may become a voter.
 
     Args:
         name: This host.
         folder: Its data folder.
         expected: Hosts that the settings name as voters.
-        section: Times.
+        section: Intervals and timeouts.
         peers: Links to the other hosts.
-        catalogue: Takes what was agreed.
+        catalogue: Applies committed changes.
         metrics: Counters.
         deliver: Sends the outcome of a change to the host that proposed it.
-        region: Region of this host; empty: voters are not spread over regions.
+        region: Region of this host; empty if voters are not spread over regions.
 
     Attributes:
-        lock: Held by whoever changes the log, the term or the role.
+        lock: Must be held to change the log, the term or the role.
         commit_index: Last position known to be durable on a quorum.
-        leader: Leader of the present term; empty: not known.
-        ballot: Its votes.
-        role: What this voter is in the present term.
-        heard_at: When a leader was heard last, by the own monotonic clock.
-        has_heard_leader: Since the start a leader was heard, or elected here.
-        stands_early: It asks for votes without waiting for a lease to end.
-        failure: Why this voter has stopped; empty: it hasn't.
+        leader: Leader of the current term; empty if not known.
+        vote_handler: Answers vote requests.
+        role: Role of this voter in the current term.
+        last_contact_at: When the last message of a leader arrived, by this host's
+            monotonic clock in seconds.
+        has_leader_contact: Whether a leader has made contact, or this voter was
+            elected, since its start.
+        is_early_candidate: Whether it requests votes without waiting for a lease to
+            expire.
+        failure: Why this voter has stopped; empty while it runs.
     """
 
     def __init__(
@@ -105,42 +108,42 @@
         self.commit_index = 0
         self.leader = HostName("")
         self.role = Role.follower
-        self.ballot = Ballot(self)
-        self._receiver = Receiver(self)
+        self.vote_handler = VoteHandler(self)
+        self._replication_handler = ReplicationHandler(self)
         self._expected = expected
         self._catalogue = catalogue
         self._leadership: Leadership | None = None
-        self.heard_at = 0.0
-        self.has_heard_leader = False
-        self.stands_early = False
+        self.last_contact_at = 0.0
+        self.has_leader_contact = False
+        self.is_early_candidate = False
         self.failure = ""
         self._deltas: list[Delta] = []
         self._applied = curio.Event()
-        self._open = False
+        self._is_open = False
         self._tasks = curio.TaskGroup()
 
     async def start(self) -> None:
-        """Read the data folder and take part.
+        """Read the data folder and start the voter's tasks.
 
         Raises:
-            StorageError: The folder is damaged, or another process holds it.
+            StorageError: The folder is damaged or used by another process.
         """
         await self.log.open()
         self._restore_machine()
-        # What this storage promised before a restart isn't written down: it may have
-        # answered a heartbeat just before, and the leader counts on it. So the start
-        # counts as hearing a leader.
-        self.heard_at = monotonic()
-        # Messages come as soon as the links are up. Taken before the log is read, a
-        # leader's snapshot would be written over it under an empty identity; one would
-        # notice at the next start, as a damaged log.
-        self._open = True
+        # Answers to heartbeats aren't stored. This voter may have answered one just
+        # before a restart, and the leader's lease may depend on that answer, so the
+        # start counts as contact with a leader.
+        self.last_contact_at = monotonic()
+        # Messages may arrive before the log is read. A leader's snapshot would then
+        # overwrite the log with an empty identity, and the next start would fail
+        # because the log is damaged.
+        self._is_open = True
         await self._applied.set()
-        await self._tasks.spawn(self._take_part)
-        await self._tasks.spawn(self._feed_catalogue)
+        await self._tasks.spawn(self._run_elections)
+        await self._tasks.spawn(self._update_catalogue)
 
     async def close(self) -> None:
-        """Stop taking part and close the files."""
+        """Stop the voter's tasks and close the files."""
         if self._leadership is not None:
             self._leadership.stop()
         await self._tasks.cancel_remaining()
@@ -148,11 +151,15 @@
 
     @property
     def is_leader(self) -> bool:
-        """True while this voter leads its term, with or without a lease."""
+        """Whether this voter leads its term, with or without a lease."""
         return self._leadership is not None and self._leadership.active
 
     def lease_until(self) -> float | None:
-        """Return when the lease ends; None where this host doesn't lead."""
+        """Return when the lease expires, or None if this host can't hold one.
+
+        The time is in seconds by this host's monotonic clock. A host can't hold a
+        lease if it isn't the leader or hasn't applied all entries of former leaders.
+        """
         leadership = self._leadership
         if leadership is None or not leadership.active or not leadership.ready:
             return None
@@ -161,28 +168,28 @@
     async def add_learner(
         self, host: HostName, storage: StorageId, region: RegionName
     ) -> bool:
-        """Follow up a host that would vote if needed; False: this isn't the leader."""
+        """Start replication to a learner; return False if this isn't the leader."""
         if not self.is_leader:
             return False
         await self._leadership.add_learner(host, storage, region)
         return True
 
     def lease(self) -> FencingNumber | None:
-        """Return the number to act under, if this host may act as leader right now."""
+        """Return the fencing number while this host holds the lease, else None."""
         until = self.lease_until()
         if until is None or monotonic() >= until:
             return None
         return FencingNumber(self._leadership.term)
 
     def voter_sets(self) -> VoterSets:
-        """Return the voters; the former ones too until a change of them is durable."""
+        """Return the set of voters, and the next set while a change is in progress."""
         entry = self.log.last_voters_entry(self.machine.index)
         if entry is None or not isinstance(entry.body, VotersBody):
             return [self.machine.voters] if self.machine.voters else []
         return [self.machine.voters, entry.body.voters]
 
     def has_applied_term(self) -> bool:
-        """Tell whether an entry of the present term is applied here."""
+        """Return whether an entry of the current term is applied on this host."""
         return self.machine.index > 0 and self.machine.term == self.log.term
 
     def known_voters(self) -> list[VoterId]:
@@ -191,14 +198,14 @@
         return list(sets[-1]) if sets else []
 
     def status(self) -> AgreementStatus:
-        """Return what operators see."""
+        """Return the status of this voter for operators."""
         until = self.lease_until()
         lease_left = max(0.0, until - monotonic()) if until is not None else 0.0
         voters = [VoterStatus(v.host, v.storage) for v in self.machine.voters]
         if self._leadership is not None and self._leadership.active:
             voters = self._leadership.voter_statuses()
         return AgreementStatus(
-            role=self._shown_role(),
+            role=self._reported_role(),
             leader=self.leader,
             cluster=self.log.identity.cluster,
             storage=self.log.identity.storage,
@@ -212,8 +219,8 @@
         )
 
     def identity(self) -> IdentityReply | None:
-        """Return who this voter is; None: its log isn't read yet."""
-        if not self._open:
+        """Return this voter's identity, or None until its log is read."""
+        if not self._is_open:
             return None
         known = self.log.identity
         return IdentityReply(known.storage, known.cluster, known.voters)
@@ -221,29 +228,32 @@
     async def handle(
         self, peer: HostName, message: VoteRequest | AppendRequest | SnapshotInstall
     ) -> VoteReply | AppendReply | None:
-        """Answer a candidate or a leader; None: the message is dropped."""
-        if self.failure or not self._open:
+        """Return the reply to a candidate or leader, or None to drop the message."""
+        if self.failure or not self._is_open:
             return None
         try:
             async with self.lock:
                 match message:
                     case VoteRequest():
-                        return await self.ballot.answer(message)
+                        return await self.vote_handler.answer(message)
                     case AppendRequest():
-                        return await self._receiver.on_append(peer, message)
+                        return await self._replication_handler.on_append(peer, message)
                     case SnapshotInstall():
-                        return await self._receiver.on_snapshot(peer, message)
+                        return await self._replication_handler.on_snapshot(
+                            peer, message
+                        )
         except StorageError as exc:
             await self.fail(exc)
         return None
 
     async def submit(self, request: ProposeRequest, host: HostName) -> ProposeReply:
-        """Bring a change before the leader, if this is it.
+        """Append a change to the log if this voter is the leader.
 
         Returns:
-            The outcome or whom to ask; None: the outcome will be delivered later.
+            The outcome, or the leader to send it to; None if the outcome is delivered
+            later.
         """
-        if not self._open:
+        if not self._is_open:
             return ProposeReply(request.change.change_id, HostName(""))
         try:
             async with self.lock:
@@ -255,27 +265,30 @@
         leader = self.leader if self.leader != self.name else HostName("")
         return ProposeReply(request.change.change_id, leader)
 
-    async def begin_cluster(self, request: GenesisRequest) -> IdentityReply | None:
-        """Begin a cluster, if this storage is blank and one of its first voters.
+    async def initialise_cluster(self, request: GenesisRequest) -> IdentityReply | None:
+        """Initialise a cluster if this storage is blank and one of its first voters.
 
-        A storage begins one cluster in its life, so of two operators with different
-        lists at most one gets a quorum; with the same list both get the same cluster.
+        A storage joins only one cluster. Of two operators with different lists of
+        voters at most one gets a quorum; with equal lists both get the same cluster.
         """
-        if not self._open:
+        if not self._is_open:
             return None
         async with self.lock:
             own = VoterId(self.name, self.log.identity.storage)
             hosts = sorted(voter.host for voter in request.voters)
             blank = not self.log.identity.cluster
             if blank and own in request.voters and hosts == sorted(self._expected):
-                cluster = cluster_of(request.voters)
-                await self.log.adopt(cluster, request.voters)
+                cluster = derive_cluster_id(request.voters)
+                await self.log.join_cluster(cluster, request.voters)
                 self._restore_machine()
                 await self._applied.set()
         return self.identity()
 
     async def step_down(self, term: Term) -> None:
-        """Follow; callers hold the lock."""
+        """Become a follower, in a newer term if one is given.
+
+        The caller must hold the lock.
+        """
         if self._leadership is not None:
             self._leadership.stop()
         self.role = Role.follower
@@ -284,7 +297,7 @@
             await self.log.save_vote(term, StorageId(""))
 
     async def commit(self, index: int) -> None:
-        """Apply what is durable on a quorum; callers hold the lock."""
+        """Apply entries that are durable on a quorum; the caller must hold the lock."""
         self.commit_index = max(self.commit_index, index)
         while self.machine.index < min(self.commit_index, self.log.last_index):
             await self._apply(self.log.entry(self.machine.index + 1))
@@ -292,7 +305,7 @@
         await self._compact()
 
     async def fail(self, exc: StorageError) -> None:
-        """Stop taking part: without its disk this voter can't keep its promises."""
+        """Stop this voter, since it can't store votes and entries without its disk."""
         if not self.failure:
             _log.error("voter stopped: its storage failed", reason=str(exc))
             self.metrics.incr("agreement.storage_failed")
@@ -309,7 +322,7 @@
             self.machine = Machine(identity.cluster, list(identity.voters))
         self.commit_index = self.machine.index
 
-    def _shown_role(self) -> Role:
+    def _reported_role(self) -> Role:
         if self.failure:
             return Role.failed
         if not self.log.identity.cluster:
@@ -319,34 +332,34 @@
         return self.role
 
     def may_vote(self) -> bool:
-        """Tell whether this storage is agreed to be a voter.
+        """Return whether this storage is a member of the current voters.
 
-        A host whose disk was lost has a new storage that isn't: the votes and entries
-        that the lost one had promised are gone, and voting again in a term in which
-        it had voted could elect a second leader.
+        The new storage of a host whose disk was lost isn't a member: the votes and
+        entries of the lost one are gone, and a second vote in the same term could
+        elect a second leader.
         """
         own = VoterId(self.name, self.log.identity.storage)
         return any(own in voters for voters in self.voter_sets())
 
     def is_own_cluster(self, cluster: ClusterId) -> bool:
-        """Tell whether a message is of this voter's cluster, and count it if not."""
+        """Return whether a message belongs to this voter's cluster; count it if not."""
         if cluster == self.log.identity.cluster and cluster:
             return True
         self.metrics.incr("agreement.other_cluster")
         return False
 
-    async def take_snapshot(self, state: MachineSnapshot) -> None:
-        """Replace the state by a leader's snapshot; callers hold the lock."""
+    async def install_snapshot(self, state: MachineSnapshot) -> None:
+        """Replace the state by a leader's snapshot; the caller must hold the lock."""
         await self.log.install(state)
         self._restore_machine()
         self._deltas.clear()
         await self._applied.set()
         self.metrics.incr("agreement.snapshot_installed")
 
-    def lead(self, term: Term) -> Leadership:
-        """Become the leader; callers hold the lock."""
+    def become_leader(self, term: Term) -> Leadership:
+        """Become the leader; the caller must hold the lock."""
         self.role = Role.leader
-        self.has_heard_leader = True
+        self.has_leader_contact = True
         self.leader = self.name
         self._leadership = Leadership(self, term)
         _log.info("elected", term=term)
@@ -369,8 +382,8 @@
             await self.log.compact(self.machine.snapshot(), keep)
             self.metrics.incr("agreement.compacted")
 
-    async def _feed_catalogue(self) -> None:
-        """Hand what was agreed to the catalogue of this host."""
+    async def _update_catalogue(self) -> None:
+        """Pass committed changes to the catalogue of this host."""
         while True:
             await self._applied.wait()
             self._applied.clear()
@@ -382,13 +395,13 @@
             if not known or self._catalogue.held < revision:
                 await self._catalogue.replace(self.machine.view())
 
-    async def _take_part(self) -> None:
-        """Follow, stand when the leader is silent, lead when elected."""
+    async def _run_elections(self) -> None:
+        """Run an election after each election timeout, and lead if elected."""
         election = Election(self)
         while True:
-            await election.wait_for_silence()
+            await election.wait_for_timeout()
             try:
-                leadership = await election.stand()
+                leadership = await election.campaign()
                 if leadership is not None:
                     await leadership.run()
             except StorageError as exc:
--- a/packages/node/src/bronzepoint_node/agreement/_voter_calls.py
+++ b/packages/node/src/bronzepoint_node/agreement/_voter_calls.py
@@ -1,4 +1,4 @@
-"""What a voter answers to the messages of other hosts."""
+"""Dispatch of messages from other hosts to a voter."""
 
 from bronzepoint_common.peers import Area, Peers
 from bronzepoint_schema.generated.agreement import (
@@ -18,7 +18,7 @@
 async def answer_voter_call(
     voter: Voter, peers: Peers, peer: HostName, message: AgreementMessage
 ) -> AgreementMessage | None:
-    """Hand a message to the voter; return its reply, None where there is none."""
+    """Pass a message to the voter; return its reply, or None if there is none."""
     match message:
         case VoteRequest() | AppendRequest() | SnapshotInstall():
             return await voter.handle(peer, message)
@@ -29,5 +29,5 @@
         case IdentityRequest():
             return voter.identity()
         case GenesisRequest():
-            return await voter.begin_cluster(message)
+            return await voter.initialise_cluster(message)
     return None
--- a/packages/node/src/bronzepoint_node/agreement/_voter_log.py
+++ b/packages/node/src/bronzepoint_node/agreement/_voter_log.py
@@ -1,4 +1,4 @@
-"""What a voter must not forget: its storage, term, vote, log and snapshot."""
+"""Durable state of a voter: its storage id, term, vote, log and snapshot."""
 
 import secrets
 from collections.abc import Callable
@@ -30,8 +30,9 @@
 class VoterLog:
     """The durable state of one voter, with a copy in memory.
 
-    Each method that changes something returns once it is synced; the copy in memory
-    changes only then, so nothing is answered that the disk doesn't hold.
+    Each method that changes the state returns once the change is synced to disk. The
+    copy in memory changes only then, so replies never depend on data that the disk
+    doesn't hold.
 
     Args:
         folder: The data folder.
@@ -39,8 +40,8 @@
     Attributes:
         identity: Storage id and cluster.
         term: Newest term seen.
-        voted_for: Vote in that term; empty: none.
-        snapshot: State at ``base_index`` or later; None: the log begins at 1.
+        voted_for: Storage voted for in that term; empty if there was no vote.
+        snapshot: State at ``base_index`` or later; None if the log starts at 1.
         base_index: Position before the first entry in memory.
         base_term: Term of that position.
     """
@@ -57,23 +58,25 @@
         self._entries: list[LogEntry] = []
 
     def exists(self) -> bool:
-        """Tell whether the folder holds a storage already."""
+        """Return whether the folder holds a storage already."""
         return self._log.path.exists() or self._snapshot_file.path.exists()
 
     async def open(self) -> None:
-        """Read everything back; an empty folder gets a new storage id.
+        """Read the stored state; an empty folder gets a new storage id.
 
         Raises:
-            StorageError: The folder is damaged, or another process holds it.
+            StorageError: The folder is damaged or used by another process.
         """
         records = await curio.run_in_thread(self._log.open)
         content = await curio.run_in_thread(self._snapshot_file.load)
         if content is not None:
-            self._take_snapshot(_snapshot_decoder.decode(content))
+            self._set_snapshot(_snapshot_decoder.decode(content))
         if records:
             self._replay(records)
         elif content is not None:
-            raise StorageCorrupt(self._log.path, "it is empty beside a snapshot")
+            raise StorageCorrupt(
+                self._log.path, "it is empty although a snapshot exists"
+            )
         else:
             await self._create_identity()
 
@@ -97,7 +100,7 @@
         return len(self._entries)
 
     def term_at(self, index: int) -> Term | None:
-        """Return the term of a position; None where it isn't held any more or yet."""
+        """Return the term of a position, or None if the log doesn't hold it."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -114,42 +117,43 @@
         return self._entries[start : start + count]
 
     def last_voters_entry(self, after: int) -> LogEntry | None:
-        """Return the newest change of the voters behind a position."""
+        """Return the newest change of the voters after a position."""
         for entry in reversed(self._entries[max(0, after - self.base_index) :]):
             if isinstance(entry.body, VotersBody):
                 return entry
         return None
 
     async def save_vote(self, term: Term, voted_for: StorageId) -> None:
-        """Keep the term and the vote in it."""
+        """Store the term and the vote in it."""
         await self._write([VoteRecord(term, voted_for)])
         self.term, self.voted_for = term, voted_for
 
     async def append(self, entries: list[LogEntry]) -> None:
-        """Append entries; the first replaces whatever stands from its position on."""
+        """Append entries, after removing those from the first one's position on."""
         if not entries:
             return
         await self._write(list(entries))
         del self._entries[entries[0].index - self.base_index - 1 :]
         self._entries.extend(entries)
 
-    async def adopt(self, cluster: ClusterId, voters: list[Voter]) -> None:
-        """Make this storage part of a cluster, for good."""
+    async def join_cluster(self, cluster: ClusterId, voters: list[Voter]) -> None:
+        """Make this storage a permanent part of a cluster."""
         identity = IdentityRecord(self.identity.storage, cluster, voters)
         await self._write([identity])
         self.identity = identity
 
     async def compact(self, snapshot: MachineSnapshot, keep: int) -> None:
-        """Replace the log up to a snapshot, but for the last ``keep`` entries.
+        """Replace the log up to a snapshot, except for its last ``keep`` entries.
 
-        They are kept for voters a little behind. A crash between the two writes
-        leaves the whole log beside the new snapshot, which is read back well.
+        These entries are kept for voters that are slightly behind. A crash between
+        the two writes leaves the whole log together with the new snapshot, from which
+        the state is restored correctly.
         """
         content = _encoder.encode(snapshot)
-        await _run_to_end(self._snapshot_file.save, content)
+        await _run_uncancelled(self._snapshot_file.save, content)
         first = max(self.base_index, snapshot.index - keep)
-        # The entry at the snapshot's position always stays: it proves at the next
-        # start that the entries behind it continue this snapshot.
+        # The entry at the snapshot's position is always kept. At the next start it
+        # proves that the entries after it continue this snapshot.
         first = min(first, snapshot.index - 1)
         kept = self._entries[first - self.base_index :]
         base_term = self.term_at(first)
@@ -160,23 +164,23 @@
 
     async def install(self, snapshot: MachineSnapshot) -> None:
         """Replace everything by a leader's snapshot, and join its cluster."""
-        await _run_to_end(self._snapshot_file.save, _encoder.encode(snapshot))
+        await _run_uncancelled(self._snapshot_file.save, _encoder.encode(snapshot))
         self._join_cluster_of(snapshot)
         self._entries = []
-        self._take_snapshot(snapshot)
-        # Stands for the entry at the snapshot's position and is never applied. Without
-        # it the next start would take the entries behind for ones of an older log.
+        self._set_snapshot(snapshot)
+        # This entry takes the snapshot's position and is never applied. Without it the
+        # next start would treat the entries after it as those of an older log.
         anchor = LogEntry(snapshot.index, snapshot.term, 0.0, TermBody(HostName("")))
         await self._rewrite([anchor])
 
     async def _write(self, records: list[StoredRecord]) -> None:
         encoded = [_encoder.encode(record) for record in records]
-        await _run_to_end(self._log.append, encoded)
+        await _run_uncancelled(self._log.append, encoded)
 
     async def _rewrite(self, entries: list[LogEntry]) -> None:
         head = [self.identity, VoteRecord(self.term, self.voted_for)]
         encoded = [_encoder.encode(record) for record in [*head, *entries]]
-        await _run_to_end(self._log.rewrite, encoded)
+        await _run_uncancelled(self._log.rewrite, encoded)
 
     async def _create_identity(self) -> None:
         storage = StorageId(secrets.token_hex(8))
@@ -190,7 +194,7 @@
                 self.identity.storage, snapshot.cluster, snapshot.voters
             )
 
-    def _take_snapshot(self, snapshot: MachineSnapshot) -> None:
+    def _set_snapshot(self, snapshot: MachineSnapshot) -> None:
         self.snapshot = snapshot
         self.base_index, self.base_term = snapshot.index, snapshot.term
 
@@ -212,14 +216,14 @@
             raise StorageCorrupt(self._log.path, "it lacks the storage's identity")
         if self.snapshot is not None:
             self._join_cluster_of(self.snapshot)
-        self._entries = self._entries_behind_snapshot(entries)
+        self._entries = self._entries_after_snapshot(entries)
 
-    def _entries_behind_snapshot(self, entries: dict[int, LogEntry]) -> list[LogEntry]:
+    def _entries_after_snapshot(self, entries: dict[int, LogEntry]) -> list[LogEntry]:
         """Return the entries that continue the snapshot.
 
-        A crash while a leader's snapshot was installed leaves the former log beside
-        it. Its entries may differ from what was agreed, so they count only if the
-        log holds the snapshot's last position with the same term.
+        A crash during the installation of a leader's snapshot leaves the former log
+        next to it. Its entries may differ from the committed ones, so they are used
+        only if the log holds the snapshot's last position with the same term.
         """
         if self.snapshot is not None:
             anchor = entries.get(self.base_index)
@@ -233,11 +237,11 @@
         return kept
 
 
-async def _run_to_end(write: Callable[[Any], None], content: Any) -> None:
-    """Write in a thread, and wait for it also when cancelled.
+async def _run_uncancelled(write: Callable[[Any], None], content: Any) -> None:
+    """Write in a thread and wait for its end, also if the task is cancelled.
 
-    The thread can't be stopped. A task that left it behind would let the next write
-    be made from a copy in memory that lacks what this one put on the disk.
+    The thread can't be stopped. If the task didn't wait for it, the next write would
+    be based on a copy in memory that lacks what this one wrote to disk.
     """
     async with curio.disable_cancellation():
         await curio.run_in_thread(write, content)
--- a/tests/_agreement_cluster.py
+++ b/tests/_agreement_cluster.py
@@ -35,7 +35,7 @@
     state: str = "live"
 
 
-class CuttablePeers(Peers):
+class PartitionablePeers(Peers):
     """Peers whose messages are lost in silence where the test cuts a link."""
 
     def __init__(self, name, listen, metrics, cut):
@@ -63,7 +63,9 @@
     async def start(self):
         cluster = self.cluster
         self.metrics = Metrics()
-        self.peers = CuttablePeers(self.name, self.address, self.metrics, cluster.cut)
+        self.peers = PartitionablePeers(
+            self.name, self.address, self.metrics, cluster.cut
+        )
         for other in cluster.hosts.values():
             self.peers.set_address(other.name, other.address, fixed=True)
         settings = cluster.settings(self)
--- a/tests/_seeded_cluster.py
+++ b/tests/_seeded_cluster.py
@@ -17,7 +17,7 @@
 TIMES = AgreementSection(voters_wanted=5, replace_after=1.0)
 
 
-class CuttablePeers(Peers):
+class PartitionablePeers(Peers):
     """Peers whose messages are lost in silence where the test cuts a host off."""
 
     cut: set = set()
@@ -41,7 +41,7 @@
         self.running = {}
         self.peers = {}
         self.metrics = {}
-        CuttablePeers.cut = set()
+        PartitionablePeers.cut = set()
 
     async def __aenter__(self):
         for name in self.names:
@@ -59,7 +59,7 @@
             self.addresses[name] = self.ports.address()
         address = self.addresses[name]
         self.metrics[name] = Metrics()
-        peers = CuttablePeers(
+        peers = PartitionablePeers(
             name, address, b"key", self.metrics[name], self.addresses.get
         )
         agreement = SeededAgreement(
@@ -119,4 +119,4 @@
     return decorate
 
 
-__all__ = ["AgreementError", "CuttablePeers", "SeededCluster", "with_cluster"]
+__all__ = ["AgreementError", "PartitionablePeers", "SeededCluster", "with_cluster"]
--- a/tests/test_agreement_documents.py
+++ b/tests/test_agreement_documents.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bronzepoint_node.agreement._documents import pack_document
+from bronzepoint_node.agreement._documents import compress_document
 from bronzepoint_node.agreement._machine import Machine
 from bronzepoint_schema.generated.agreement import (
     Accepted,
@@ -59,8 +59,8 @@
         leader, pending, log = Machine("c", []), [], []
         for version, packed, applies in steps:
             content = document(version)
-            op = pack_document if packed else ReplaceDocument
-            short = leader.shorten(change(op(version, content)), pending)
+            op = compress_document if packed else ReplaceDocument
+            short = leader.delta_encode(change(op(version, content)), pending)
             entry = LogEntry(len(log) + 1, 1, 0.0, ChangeBody(short))
             pending.append(entry)
             log.append(entry)
--- a/tests/test_agreement_machine.py
+++ b/tests/test_agreement_machine.py
@@ -77,7 +77,7 @@
     def test_change_older_than_the_kept_outcomes_is_refused(self):
         """A resend whose outcome was forgotten could otherwise be applied twice."""
         changes = [self.put(f"owner{number}") for number in range(6)]
-        with mock.patch.object(_machine, "RESULTS_KEPT", 3):
+        with mock.patch.object(_machine, "MAX_RESULTS", 3):
             for change in changes:
                 self.apply(change)
             self.machine = self.reloaded()
@@ -126,17 +126,17 @@
         after = msgspec.structs.replace(entry, targets=targets[1:])
         self.apply(make_change(Put(entry)))
         change = make_change(Put(after), 2)
-        short = self.machine.shorten(change)
+        short = self.machine.delta_encode(change)
         self.assertLess(len(msgspec.msgpack.encode(short)), 1000)
         racing = self.apply(make_change(Put(entry), 2, "pim"))
         self.assertIsInstance(racing, Accepted)
         self.assertIsInstance(self.apply(short), Conflicted)
-        short = self.machine.shorten(make_change(Put(after), 3))
+        short = self.machine.delta_encode(make_change(Put(after), 3))
         self.assertIsInstance(self.apply(short), Accepted)
         expected = msgspec.structs.replace(after, version=3)
         self.assertEqual(self.machine.view().items, [expected])
         late = make_change(Put(entry), 3)
-        self.assertIs(self.machine.shorten(late), late)
+        self.assertIs(self.machine.delta_encode(late), late)
 
 
 OLD = [Voter("bkk1", "a"), Voter("sgp1", "b"), Voter("cnx1", "c")]
@@ -210,7 +210,7 @@
 
     def test_compacted_log_comes_back(self):
         async def steps(log):
-            await log.adopt("cluster", [])
+            await log.join_cluster("cluster", [])
             await log.append(self.entries(1, 10, 1))
             await log.compact(snapshot_at(8, 1), keep=3)
             await log.append(self.entries(11, 12, 1))
--- a/tests/test_agreement_seeded.py
+++ b/tests/test_agreement_seeded.py
@@ -7,9 +7,9 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.agreement import AgreementError
-from bronzepoint_node.agreement._ballot import Ballot
+from bronzepoint_node.agreement._vote_handler import VoteHandler
 from bronzepoint_schema.generated.agreement import VoteRequest
-from tests._seeded_cluster import CuttablePeers, SeededCluster, with_cluster
+from tests._seeded_cluster import PartitionablePeers, SeededCluster, with_cluster
 
 FIVE = ("a1", "b1", "c1", "a2", "b2")
 
@@ -110,12 +110,12 @@
     @with_cluster("a1", "b1", "c1")
     async def test_host_that_is_cut_off_gives_no_old_document(self, cluster):
         await cluster.put("a1", 1)
-        CuttablePeers.cut = {"c1"}
+        PartitionablePeers.cut = {"c1"}
         with self.assertRaises(AgreementError):
             # The others may go on at any moment, also right now.
             await curio.sleep(1.5)
             await cluster.read("c1", timeout=0.8)
-        CuttablePeers.cut = set()
+        PartitionablePeers.cut = set()
         await cluster.put("a1", 2)
         self.assertEqual(await cluster.read("c1"), (2, b"x"))
 
@@ -145,11 +145,11 @@
         Cause: the snapshot's document was given out as the newest."""
         await cluster.put("a1", 1)
         await cluster.stop("c1")
-        CuttablePeers.cut = {"c1"}
+        PartitionablePeers.cut = {"c1"}
         await cluster.start("c1")
         await curio.sleep(0.3)
         self.assertIsNone(cluster.running["c1"].confirmed_age())
-        CuttablePeers.cut = set()
+        PartitionablePeers.cut = set()
         await cluster.until(lambda: cluster.running["c1"].confirmed_age() is not None)
         self.assertEqual(cluster.running["c1"].document.version, 1)
 
@@ -171,9 +171,9 @@
         async with voter.lock:
             log = voter.log
             await voter.step_down(log.term)
-            voter.heard_at = float("inf")
-            ballot = Ballot(voter)
-            set_up(voter, ballot)
+            voter.last_contact_at = float("inf")
+            vote_handler = VoteHandler(voter)
+            set_up(voter, vote_handler)
             request = VoteRequest(
                 log.identity.cluster,
                 log.term + 1,
@@ -183,7 +183,7 @@
                 trial,
                 unled,
             )
-            return await ballot.answer(request)
+            return await vote_handler.answer(request)
 
 
 class TestEarlyElection(unittest.TestCase):
@@ -192,8 +192,8 @@
         """A restarted voter doesn't know what it has promised a leader. Only where
         every voter says that none leads, and it has heard none, it votes at once."""
 
-        def set_up(voter, ballot):
-            voter.has_heard_leader = has_heard
+        def set_up(voter, vote_handler):
+            voter.has_leader_contact = has_heard
 
         reply = curio.run(answer_candidate, set_up, "other", False, unled)
         self.assertEqual(reply.granted, granted)
@@ -214,11 +214,11 @@
         message is heard, another stands in the next term and deposes it.
         Cause: voters that had just voted, or stood themselves, voted again at once."""
 
-        def set_up(voter, ballot):
-            voter.has_heard_leader = False
-            voter.stands_early = stands
+        def set_up(voter, vote_handler):
+            voter.has_leader_contact = False
+            voter.is_early_candidate = stands
             if voted is not None:
-                ballot.given_at = monotonic() - voted
+                vote_handler.granted_at = monotonic() - voted
 
         reply = curio.run(answer_candidate, set_up, candidate)
         self.assertEqual((reply.granted, reply.leads), (granted, leads))
--- a/tests/test_agreement_storage.py
+++ b/tests/test_agreement_storage.py
@@ -95,7 +95,7 @@
             early = [
                 voter.identity(),
                 await voter.handle("b", install),
-                await voter.begin_cluster(GenesisRequest([VoterId("a", "")])),
+                await voter.initialise_cluster(GenesisRequest([VoterId("a", "")])),
             ]
             await curio.run_in_thread(voter.log._log.close)
             log = VoterLog(folder)
--- a/tests/test_agreement_voter_choice.py
+++ b/tests/test_agreement_voter_choice.py
@@ -4,13 +4,13 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.agreement._voter_choice import Candidate, choose_voters
+from bronzepoint_node.agreement._voter_choice import VoterCandidate, select_voters
 from bronzepoint_schema.generated.agreement import Voter
 
 
 def candidate(name, silent=0.0, caught_up=True):
     """Host ``a1`` is of region ``a``."""
-    return Candidate(Voter(name, f"s-{name}"), name[0], silent, caught_up)
+    return VoterCandidate(Voter(name, f"s-{name}"), name[0], silent, caught_up)
 
 
 def voters(*names):
@@ -28,7 +28,7 @@
         (("a1", "b1", "c1"), ["a1", "b1", "c1", "a2", "a3", "c2"], ("a2", "c2")),
     )
     def test_free_seats(self, seated, known, added):
-        chosen = choose_voters(
+        chosen = select_voters(
             voters(*seated), [candidate(name) for name in known], 5, 4.0
         )
         expected = voters(*seated, *added) if added else None
@@ -44,7 +44,7 @@
         seated = ("a1", "b1", "c1", "a2", "b2")
         known = [candidate(name) for name in seated[1:]]
         known += [candidate("a1", silent), candidate(spare)]
-        chosen = choose_voters(voters(*seated), known, 5, 4.0)
+        chosen = select_voters(voters(*seated), known, 5, 4.0)
         self.assertEqual(chosen, voters(*expected) if expected else None)
 
     def test_a_host_that_is_behind_gets_no_seat(self):
@@ -53,7 +53,7 @@
         seated = ("a1", "b1", "c1")
         known = [candidate(name) for name in seated]
         known += [candidate("a2", caught_up=False), candidate("b2", caught_up=False)]
-        self.assertIsNone(choose_voters(voters(*seated), known, 5, 4.0))
+        self.assertIsNone(select_voters(voters(*seated), known, 5, 4.0))
 
 
 if __name__ == "__main__":
