--- a/tests/_agreement_cluster.py
+++ b/tests/_agreement_cluster.py
@@ -1,4 +1,4 @@
-"""Hosts of one cluster in this process, on links that tests can cut."""
+"""Hosts of one cluster in this process, with links that tests can disconnect."""
 
 import tempfile
 from dataclasses import dataclass
@@ -36,14 +36,14 @@
 
 
 class PartitionablePeers(Peers):
-    """Peers whose messages are lost in silence where the test cuts a link."""
+    """Peers whose messages are dropped without an error on disconnected links."""
 
-    def __init__(self, name, listen, metrics, cut):
+    def __init__(self, name, listen, metrics, cut_links):
         super().__init__(name, listen, bytes.fromhex(KEY), metrics)
-        self._cut = cut
+        self._cut_links = cut_links
 
     def _send_payload(self, peer, frame, area, call_id, payload):
-        if (self._name, peer) in self._cut:
+        if (self._name, peer) in self._cut_links:
             return True
         return super()._send_payload(peer, frame, area, call_id, payload)
 
@@ -64,7 +64,7 @@
         cluster = self.cluster
         self.metrics = Metrics()
         self.peers = PartitionablePeers(
-            self.name, self.address, self.metrics, cluster.cut
+            self.name, self.address, self.metrics, cluster.cut_links
         )
         for other in cluster.hosts.values():
             self.peers.set_address(other.name, other.address, fixed=True)
@@ -120,7 +120,7 @@
         self.root = Path(folder.name)
         self.ports = PortBlock()
         self.ports.start()
-        self.cut = set()
+        self.cut_links = set()
         self.section = {"heartbeat": 0.05, "lease": 0.4, "election_timeout": 0.6}
         self.section.update(section)
         self.hosts = {}
@@ -157,17 +157,17 @@
         for a in self.hosts:
             for b in self.hosts:
                 if (a in inside) != (b in inside):
-                    self.cut.add((a, b))
+                    self.cut_links.add((a, b))
 
     def heal(self):
-        self.cut.clear()
+        self.cut_links.clear()
 
     async def start(self, initialise=True):
         for host in self.hosts.values():
             await host.start()
         if initialise:
             first = next(iter(self.hosts.values()))
-            await begin(first.agreement)
+            await initialise_cluster(first.agreement)
 
     async def close(self):
         for host in self.hosts.values():
@@ -185,7 +185,7 @@
         await until(lambda: any(h.name in names for h in self.leaders()))
         return next(h for h in self.leaders() if h.name in names)
 
-    async def in_force(self, revision, *names):
+    async def wait_for_revision(self, revision, *names):
         for name in names or self.hosts:
             host = self.hosts[name]
             await until(
@@ -201,11 +201,11 @@
     return make_change(Remove(ItemKind.owner, name), version)
 
 
-async def begin(agreement):
-    """Begin the cluster, and again as the refusal says while a voter is slow.
+async def initialise_cluster(agreement):
+    """Initialise the cluster, and retry while it is refused because a voter is slow.
 
-    A voter that didn't answer the word to begin within the product's 2 s, as beside a
-    load of 27 on eight cores, refuses it as a whole; running it again is harmless.
+    If one voter doesn't answer within 2 s, the whole initialisation is refused. This
+    was seen with a load average of 27 on eight cores. Running it again is harmless.
     """
     end = monotonic() + DEADLINE
     while True:
@@ -218,7 +218,7 @@
 
 
 async def until(condition, deadline=DEADLINE):
-    """Wait until a state is observed; a generous deadline only ends a hung test."""
+    """Wait until a condition holds; the long deadline only ends a test that hangs."""
     end = monotonic() + deadline
     while not condition():
         if monotonic() > end:
@@ -227,7 +227,7 @@
 
 
 def run(scenario, *args, **options):
-    """Run a scenario on a started cluster, and stop all of it after."""
+    """Run a scenario on a started cluster and stop the cluster afterwards."""
 
     async def main():
         cluster = Cluster(*args, **options)
--- a/tests/_seeded_cluster.py
+++ b/tests/_seeded_cluster.py
@@ -1,4 +1,4 @@
-"""Hosts of a core that forms itself, in this process, on links that tests can cut."""
+"""Hosts of a core formed from seeds, in this process; tests can isolate them."""
 
 import shutil
 import tempfile
@@ -18,18 +18,18 @@
 
 
 class PartitionablePeers(Peers):
-    """Peers whose messages are lost in silence where the test cuts a host off."""
+    """Peers whose messages to and from isolated hosts are dropped without an error."""
 
-    cut: set = set()
+    isolated_hosts: set = set()
 
     def _send_payload(self, peer, frame, area, call_id, payload):
-        if self._name in self.cut or peer in self.cut:
+        if self._name in self.isolated_hosts or peer in self.isolated_hosts:
             return True
         return super()._send_payload(peer, frame, area, call_id, payload)
 
 
 class SeededCluster:
-    """Hosts ``a1``, ``b1``, …; the letter is the region, the first three the seeds."""
+    """Hosts ``a1``, ``b1``, …; the letter is the region, the first three are seeds."""
 
     def __init__(self, *names):
         self.names = names
@@ -41,7 +41,7 @@
         self.running = {}
         self.peers = {}
         self.metrics = {}
-        PartitionablePeers.cut = set()
+        PartitionablePeers.isolated_hosts = set()
 
     async def __aenter__(self):
         for name in self.names:
--- a/tests/test_agreement_batches.py
+++ b/tests/test_agreement_batches.py
@@ -1,9 +1,10 @@
-"""What a host that was away is sent at once, by the core and by other hosts.
+"""Bounded size of the messages that bring a lagging host up to date.
 
-A voter that was cut off while thirty-two items of 200 KB changed was sent 6.4 MB in one
-request. It came after the timeout of 0.75 s, its answer was dropped, and the same
-request went again, for as long as the link stayed as it was. A host that follows the
-catalogue was sent up to 256 changes of any size, within 0.6 s.
+Guards against requests that are too large for their timeout. A voter that was isolated
+while thirty-two items of 200 KB changed was sent 6.4 MB in one request. Its answer came
+after the timeout of 0.75 s and was dropped, so the same request was repeated without
+end. A host that follows the catalogue was sent up to 256 changes of any size, with a
+timeout of 0.6 s.
 """
 
 import tempfile
@@ -47,20 +48,20 @@
 
 class TestBatch(unittest.TestCase):
     @params(([], 0), ([1], 1), ([10] * 5, 5), ([LARGE], 1), ([10, LARGE, 10], 1))
-    def test_it_is_bounded_and_never_empty(self, sizes, count):
+    def test_batch_is_bounded_and_never_empty(self, sizes, count):
         items = [b"x" * size for size in sizes]
         self.assertEqual(first_batch(items), items[:count])
 
 
 class TestRequestOfALeader(unittest.TestCase):
     @params((32, LARGE, 1), (32, 100, 32))
-    def test_a_voter_that_lacks_much_gets_it_piece_by_piece(self, held, size, count):
+    def test_voter_far_behind_receives_bounded_requests(self, log_size, size, count):
         async def request(folder):
             voter = Voter(
                 "a", folder, ["a"], AgreementSection(), None, None, Metrics(), None
             )
             await voter.log.open()
-            await voter.log.append([entry(i, size) for i in range(1, held + 1)])
+            await voter.log.append([entry(i, size) for i in range(1, log_size + 1)])
             found = Leadership(voter, 1)._next_request(Progress("b", "s", 1))
             await voter.log.close()
             return found
@@ -73,7 +74,7 @@
 
 class TestFollowingHost(unittest.TestCase):
     @params((200, LARGE), (200, 100))
-    def test_a_host_that_is_behind_catches_up_piece_by_piece(self, count, size):
+    def test_host_far_behind_catches_up_in_bounded_batches(self, count, size):
         async def follow():
             ahead, behind = HeldCatalogue(None), HeldCatalogue(None)
             changes = [Delta(number, put(number, size)) for number in range(1, count)]
--- a/tests/test_agreement_changes.py
+++ b/tests/test_agreement_changes.py
@@ -1,4 +1,4 @@
-"""Changes: accepted once, on a quorum, whatever happens in between."""
+"""Changes are accepted by a quorum and applied once, also after failures."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 async def compact(cluster):
-    """Make every voter compact its log past what it holds now."""
+    """Make every voter compact its log past its current entries."""
     for number in range(2 * cluster.section["snapshot_every"]):
         await cluster["bkk1"].propose(f"filler{number}")
     for host in cluster.hosts.values():
@@ -39,29 +39,29 @@
     await cluster.leader()
 
 
-async def all_three(cluster):
+async def all_disruptions(cluster):
     for disturb in (compact, change_leader, restart_all):
         await disturb(cluster)
 
 
 class TestChanges(unittest.TestCase):
-    def test_change_through_any_host_is_in_force_on_all(self):
+    def test_change_through_any_host_takes_effect_on_all(self):
         async def scenario(cluster):
             for number, host in enumerate(cluster.hosts.values(), 1):
                 accepted = await host.propose(f"owner{number}", rate=number)
                 self.assertEqual(accepted.revision, number)
-            await cluster.in_force(len(cluster.hosts))
+            await cluster.wait_for_revision(len(cluster.hosts))
             for host in cluster.hosts.values():
                 self.assertEqual(host.view.owner("owner2").limits.rate, 2)
                 self.assertEqual(host.view.owner("owner2").version, 1)
 
         run(scenario, THREE, "bkk2 sgp2 cnx2 ist1 ist2")
 
-    def test_racing_operators_with_equal_numbers(self):
-        """Two operators change the same item at once; both are told 'accepted'.
+    def test_concurrent_changes_with_equal_versions(self):
+        """Guards against accepting both of two concurrent changes of one item.
 
-        Cause: versions compared on the host that takes the change instead of at its
-        place in the agreed log.
+        This happens if versions are compared on the host that receives the change
+        instead of at its position in the replicated log.
         """
 
         async def scenario(cluster):
@@ -83,13 +83,13 @@
 
         run(scenario, THREE)
 
-    @params(compact, change_leader, restart_all, all_three)
+    @params(compact, change_leader, restart_all, all_disruptions)
     def test_resend_is_applied_once(self, disturb):
-        """An operator loses the answer, sends again, and the change counts twice.
+        """Guards against applying a change twice when an operator resends it.
 
-        In between the log was compacted, the leader changed, or all voters were
-        restarted. Cause: outcomes kept with the connection, the leader or the log,
-        and not in the replicated state and its snapshot.
+        Before the resend the log is compacted, the leader changes, or all voters
+        restart. The change is applied twice if outcomes are kept with the connection,
+        the leader or the log instead of the replicated state and its snapshot.
         """
 
         async def scenario(cluster):
@@ -113,28 +113,28 @@
         run(scenario, THREE, snapshot_every=20)
 
     def test_restart_after_hundreds_of_changes(self):
-        """A process that was away comes back and serves what it knew long ago."""
+        """Guards against a restarted host that serves an outdated view."""
 
         async def scenario(cluster):
-            await cluster.in_force(0)
-            away = [cluster["cnx1"], cluster["cnx2"], cluster["bkk2"]]
+            await cluster.wait_for_revision(0)
+            stopped = [cluster["cnx1"], cluster["cnx2"], cluster["bkk2"]]
             revision = (await cluster["bkk1"].propose("before")).revision
-            await cluster.in_force(revision)
-            for host in away:
+            await cluster.wait_for_revision(revision)
+            for host in stopped:
                 await host.stop()
             for number in range(600):
                 await cluster["bkk1"].propose(f"owner{number}")
-            for host in away:
+            for host in stopped:
                 await host.start()
-            for host in away:
+            for host in stopped:
                 await until(lambda host=host: host.view.ready)
                 self.assertGreaterEqual(host.view.revision, 601)
             last = await cluster["cnx1"].propose("after")
-            await cluster.in_force(last.revision)
+            await cluster.wait_for_revision(last.revision)
 
         run(scenario, THREE, "bkk2 cnx2 sgp2", "cnx2", snapshot_every=100)
 
-    def test_contradictory_change_is_not_taken(self):
+    def test_contradictory_change_is_not_logged(self):
         async def scenario(cluster):
             leader = await cluster.leader()
             before = leader.status.last_index
@@ -145,8 +145,8 @@
 
         run(scenario, THREE)
 
-    def test_no_leader_means_not_taken(self):
-        """Said only where no voter can have taken it: all answered that they don't."""
+    def test_not_leader_means_change_not_accepted(self):
+        """NotLeader is raised only if every voter answered that it doesn't lead."""
 
         async def scenario(cluster):
             for name in ("sgp1", "cnx1"):
--- a/tests/test_agreement_documents.py
+++ b/tests/test_agreement_documents.py
@@ -1,4 +1,4 @@
-"""Documents in the log and between voters cost what has changed in them."""
+"""The cost of documents in the log and between voters depends on what changed."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 from tests._seeded_cluster import with_cluster
 
 CONTROL_MEMORY = 64e6
-"""Bytes that a host may use for control."""
+"""Memory in bytes that a host may use for control data."""
 ROUTES = 1700
 CHANGES = 40
 
@@ -28,9 +28,11 @@
 class TestLog(unittest.TestCase):
     @with_cluster("a1")
     async def test_the_log_grows_with_what_has_changed(self, cluster):
-        """The leader's memory grew by 93 MB while eighteen versions of a catalogue of
-        1,700 routes were agreed: the log, on the disk and in memory, kept each of them
-        whole, up to a thousand between two snapshots."""
+        """Guards against a log that keeps each version of the document whole.
+
+        Then eighteen versions of a catalogue with 1,700 routes added 93 MB to the
+        leader's memory. The log, on disk and in memory, holds up to a thousand entries
+        between two snapshots."""
         await cluster.put("a1", 1, large_manifest(1, ROUTES))
         path = cluster.root / "a1" / "agreement.log"
         before = path.stat().st_size
@@ -53,9 +55,9 @@
 class TestShortenedChanges(unittest.TestCase):
     @given(st.lists(st.tuples(st.integers(1, 9), st.booleans(), st.booleans())))
     def test_the_log_leads_to_the_highest_version(self, steps):
-        """Changes reach the leader before those in front of them are applied, whole or
-        packed, overtaken and with equal numbers; a voter that was restored from a
-        snapshot applies the rest of the same log."""
+        """Changes reach the leader while earlier ones are pending, whole or compressed,
+        with outdated and equal versions. A voter restored from a snapshot applies the
+        rest of the same log and must reach the same state."""
         leader, pending, log = Machine("c", []), [], []
         for version, packed, applies in steps:
             content = document(version)
@@ -86,7 +88,9 @@
 class TestReading(unittest.TestCase):
     @with_cluster("a1", "b1", "c1")
     async def test_reads_carry_what_the_asking_host_lacks(self, cluster):
-        """Each read used to bring the whole document from the leader, within 0.6 s."""
+        """Guards against reads that transfer the whole document.
+
+        The leader's answer has a timeout of 0.6 s."""
         await cluster.put("a1", 1, large_manifest(1, ROUTES))
         for name in cluster.names:
             agreement = cluster.running[name]
--- a/tests/test_agreement_machine.py
+++ b/tests/test_agreement_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state, the quorum rule and the voter's files."""
+"""The replicated state machine, the quorum rule and the voter's files."""
 
 import tempfile
 import unittest
@@ -43,7 +43,7 @@
     def put(self, name="owner", version=1, operator="olive", change_id=None):
         return make_change(Put(OwnerItem(name)), version, operator, change_id)
 
-    def test_equal_numbers_one_wins_and_the_other_learns_who(self):
+    def test_second_change_with_equal_version_conflicts_and_names_winner(self):
         first = self.apply(self.put(operator="olive"))
         second = self.apply(self.put(operator="pim"))
         self.assertEqual((first.revision, first.version), (1, 1))
@@ -60,27 +60,27 @@
         self.apply(self.put(version=2))
         lost = self.put(version=2)
         conflict = self.apply(lost)
-        self.machine = self.reloaded()
+        self.machine = self.restored()
         self.assertEqual(self.apply(change), first)
         self.assertEqual(self.apply(lost), conflict)
         self.assertEqual(self.machine.revision, 2)
 
     def test_removed_item_keeps_its_version(self):
-        """A put resent after a remove must not bring the item back."""
+        """A put that is resent after a remove must not restore the item."""
         self.apply(self.put())
         self.assertIsInstance(self.apply(remove_owner("owner", 2)), Accepted)
-        self.machine = self.reloaded()
+        self.machine = self.restored()
         self.assertIsInstance(self.apply(self.put(version=1)), Conflicted)
         self.assertIsInstance(self.apply(remove_owner("owner", 3)), Conflicted)
         self.assertIsInstance(self.apply(self.put(version=3)), Accepted)
 
     def test_change_older_than_the_kept_outcomes_is_refused(self):
-        """A resend whose outcome was forgotten could otherwise be applied twice."""
+        """A resend whose outcome was evicted could otherwise be applied twice."""
         changes = [self.put(f"owner{number}") for number in range(6)]
         with mock.patch.object(_machine, "MAX_RESULTS", 3):
             for change in changes:
                 self.apply(change)
-            self.machine = self.reloaded()
+            self.machine = self.restored()
             self.assertEqual(self.apply(changes[2]), Expired(changes[2].change_id))
             self.assertIsInstance(self.apply(changes[3]), Accepted)
         self.assertEqual(self.machine.revision, 6)
@@ -90,9 +90,9 @@
             self.apply(self.put(f"owner{number}"))
         self.apply(remove_owner("owner3", 2))
         self.assertEqual(len(self.machine.snapshot().results), 21)
-        self.assertEqual(self.reloaded().snapshot(), self.machine.snapshot())
+        self.assertEqual(self.restored().snapshot(), self.machine.snapshot())
 
-    def reloaded(self):
+    def restored(self):
         content = msgspec.msgpack.encode(self.machine.snapshot())
         return Machine.restore(msgspec.msgpack.decode(content, type=MachineSnapshot))
 
@@ -118,7 +118,7 @@
                 self.assertLess(len(msgspec.msgpack.encode(delta)), 1000)
 
     def test_log_carries_only_the_targets_that_differ(self):
-        """One target of a large model comes or goes, and each voter gets it all."""
+        """Guards against sending a whole large model when one target changes."""
         targets = [
             Target(f"t{i}", "bkk", "b", f"127.0.0.1:{i + 1}") for i in range(500)
         ]
@@ -128,15 +128,15 @@
         change = make_change(Put(after), 2)
         short = self.machine.delta_encode(change)
         self.assertLess(len(msgspec.msgpack.encode(short)), 1000)
-        racing = self.apply(make_change(Put(entry), 2, "pim"))
-        self.assertIsInstance(racing, Accepted)
+        concurrent = self.apply(make_change(Put(entry), 2, "pim"))
+        self.assertIsInstance(concurrent, Accepted)
         self.assertIsInstance(self.apply(short), Conflicted)
         short = self.machine.delta_encode(make_change(Put(after), 3))
         self.assertIsInstance(self.apply(short), Accepted)
         expected = msgspec.structs.replace(after, version=3)
         self.assertEqual(self.machine.view().items, [expected])
-        late = make_change(Put(entry), 3)
-        self.assertIs(self.machine.delta_encode(late), late)
+        outdated = make_change(Put(entry), 3)
+        self.assertIs(self.machine.delta_encode(outdated), outdated)
 
 
 OLD = [Voter("bkk1", "a"), Voter("sgp1", "b"), Voter("cnx1", "c")]
@@ -196,7 +196,7 @@
 
         return self.run_on_log(nothing)
 
-    def test_everything_comes_back(self):
+    def test_state_is_restored_on_reopen(self):
         async def steps(log):
             await log.save_vote(3, "b")
             await log.append(self.entries(1, 5, 1))
@@ -208,7 +208,7 @@
         self.assertEqual((after.term, after.voted_for), (3, "b"))
         self.assertEqual([after.term_at(i) for i in range(1, 6)], [1, 1, 1, 3, None])
 
-    def test_compacted_log_comes_back(self):
+    def test_compacted_log_is_restored_on_reopen(self):
         async def steps(log):
             await log.join_cluster("cluster", [])
             await log.append(self.entries(1, 10, 1))
@@ -220,11 +220,12 @@
         after = self.reopen()
         self.assertEqual((after.base_index, after.last_index), (8, 12))
 
-    def test_entries_of_a_replaced_log_are_not_taken_behind_a_snapshot(self):
-        """A crash while a leader's snapshot is installed leaves the former log.
+    def test_entries_of_a_replaced_log_are_dropped_after_a_snapshot(self):
+        """Guards against uncommitted entries after a leader's snapshot.
 
-        Its entries behind the snapshot's position were never agreed: taken up again,
-        they would stand where other voters hold different ones.
+        A crash while the snapshot is installed leaves the former log. Its entries after
+        the snapshot's position were never committed, and other voters may hold
+        different ones at these positions.
         """
 
         async def steps(log):
@@ -238,7 +239,7 @@
         self.assertEqual((after.last_index, after.last_term), (5, 4))
         self.assertEqual(after.identity.cluster, "cluster")
 
-    def test_emptied_folder_is_another_storage(self):
+    def test_emptied_folder_gets_another_storage_id(self):
         before = self.reopen()
         for path in self.folder.iterdir():
             path.unlink()
@@ -251,6 +252,6 @@
 
 class TestChangeIds(unittest.TestCase):
     def test_ids_order_by_their_time(self):
-        """The machine forgets the oldest ids first and relies on this order."""
+        """The state machine evicts the oldest ids first and relies on this order."""
         ids = [str(uuid_utils.uuid7()) for _ in range(100)]
         self.assertEqual(ids, sorted(ids))
--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -1,4 +1,4 @@
-"""The agreed catalogue with real processes behind the fault proxy."""
+"""The replicated catalogue with real processes behind the fault proxy."""
 
 import threading
 import unittest
@@ -34,7 +34,7 @@
         return self.deployment.operator(host).status()
 
     def leader(self, *without):
-        """Wait until a host other than these leads, and return it."""
+        """Wait until a host outside ``without`` leads, and return it."""
         hosts = [h for h in self.deployment.host_names() if h not in without]
 
         def find():
@@ -44,9 +44,9 @@
         return wait_until(find, f"a leader among {hosts}")
 
     def lease_holder(self, number, former):
-        """Wait until another host may act under a higher number, and return it.
+        """Wait until another host has a higher fencing number, and return it.
 
-        Right after a lost leader two candidates may follow one another.
+        After the loss of a leader, two leaders may be elected in quick succession.
         """
 
         def find():
@@ -62,7 +62,7 @@
         return wait_until(find, f"a lease above {number}")
 
     def voter_state(self, host):
-        """Return what the leader says of one voter."""
+        """Return the state of one voter as reported by the leader."""
         states = self.status(self.leader())["voter_states"]
         return next(state for state in states if state["host"] == host)
 
@@ -79,12 +79,12 @@
 
 
 class TestLeader(ProcessCase):
-    def test_frozen_leader_wakes_without_a_lease(self):
-        """A leader frozen for longer than its lease acts again when it wakes.
+    def test_frozen_leader_resumes_without_a_lease(self):
+        """Guards against a leader that acts after it was frozen longer than its lease.
 
-        SIGSTOP holds the leader; another is elected and accepts a change. After
-        SIGCONT the first thing asked of the former leader is whether it may act.
-        Cause: a lease checked at some time before the act.
+        SIGSTOP freezes the leader; another one is elected and accepts a change. The
+        first query after SIGCONT reads the former leader's fencing number. The fault
+        occurs if the lease is checked some time before the action.
         """
         former = self.leader()
         number = self.status(former)["fencing_number"]
@@ -98,10 +98,10 @@
         self.assertEqual(self.status(former)["fencing_number"], 0)
         self.lease_holder(number, former)
 
-    def test_leader_cut_off_in_silence(self):
-        """A leader behind a cut goes on accepting changes that are lost later.
+    def test_isolated_leader_commits_no_change(self):
+        """Guards against a partitioned leader that accepts changes that are lost later.
 
-        Its operators' link works, its links to the other hosts swallow everything.
+        Its link to operators works; messages on its links to other hosts are dropped.
         """
         former = self.leader()
         self.deployment.isolate_host(former)
@@ -111,8 +111,10 @@
         self.assertGreaterEqual(answer.status, 500)
         revision = self.put("kept", successor)
         self.deployment.wait_revision(revision, self.others(former))
-        # A host that can't learn of changes within the bound says so.
-        wait_until(lambda: not self.status(former)["within_bound"], f"{former} says so")
+        # A host that can't receive changes within the staleness bound reports it.
+        wait_until(
+            lambda: not self.status(former)["within_bound"], f"{former} is stale"
+        )
         self.assertTrue(self.status(former)["ready"])
         self.deployment.heal()
         self.deployment.wait_revision(revision)
@@ -123,12 +125,12 @@
 
 
 class TestDisks(ProcessCase):
-    def test_wiped_disk_and_a_second_host_lost_right_after(self):
-        """Accepted changes vanish: two hosts are lost, one after the other's repair.
+    def test_wiped_disk_and_two_hosts_lost_right_after(self):
+        """Guards against the loss of accepted changes after a repair.
 
-        A voter's disk is emptied and it starts anew; as soon as it counts again, two
-        other voters are killed. With five voters the three left must hold everything,
-        the repaired one among them.
+        A voter's disk is emptied and the voter restarts. As soon as it is a voter
+        again, two others are killed. The remaining three of five voters, including the
+        repaired one, must hold all accepted changes.
         """
         wiped = next(h for h in ("bkk-2", "sgp-2") if h != self.leader())
         for number in range(20):
@@ -142,18 +144,18 @@
             state = self.voter_state(wiped)
             return state["storage"] == state["found"] != lost_storage
 
-        wait_until(repaired, f"{wiped} counts again")
+        wait_until(repaired, f"{wiped} is a voter again")
         voters = [h.name for h in self.deployment.layout.voters() if h.name != wiped]
         for lost in voters[:2]:
             self.deployment.kill(lost)
-        left = self.others(*voters[:2])
+        remaining = self.others(*voters[:2])
         accepted = self.put("after", wiped)
         self.assertEqual(accepted, last + 1)
-        self.deployment.wait_revision(accepted, left)
+        self.deployment.wait_revision(accepted, remaining)
         self.assertIn("owner7", self.items(wiped))
 
     def test_killed_processes_answer_a_resend_as_the_first_time(self):
-        """All hosts are killed at once; an operator who lost the answer resends."""
+        """All hosts are killed at once; an operator who got no answer resends."""
         operator = self.deployment.operator(self.first)
         body = operator.put_body(OwnerItem("item", version=1))
         first = operator.change(body).json()
@@ -168,28 +170,28 @@
         self.assertEqual(self.deployment.revision("cnx-1"), first["revision"])
 
     def test_restart_after_hundreds_of_changes(self):
-        """A process that was away for hundreds of changes serves its older view."""
-        away = ("cnx-1", "cnx-3", "bkk-3")
-        for host in away:
+        """Guards against a restarted process that serves an outdated view."""
+        stopped = ("cnx-1", "cnx-3", "bkk-3")
+        for host in stopped:
             self.deployment.kill(host)
         for number in range(300):
             last = self.put(f"owner{number}")
-        self.deployment.wait_revision(last, self.others(*away))
-        for host in away:
+        self.deployment.wait_revision(last, self.others(*stopped))
+        for host in stopped:
             self.deployment.restart(host)
-        for host in away:
+        for host in stopped:
 
             def first_ready(host=host):
                 status = self.status(host)
                 return status if status["ready"] else None
 
-            seen = wait_until(first_ready, f"{host} serves")
-            self.assertGreaterEqual(seen["revision"], last)
+            status = wait_until(first_ready, f"{host} serves")
+            self.assertGreaterEqual(status["revision"], last)
 
 
 class TestOperators(ProcessCase):
-    def test_racing_operators_with_equal_numbers(self):
-        """Both operators are told 'accepted', and one's change is gone."""
+    def test_concurrent_changes_with_equal_versions(self):
+        """Guards against accepting both concurrent changes and losing one of them."""
         answers = {}
 
         def operate(name, host):
@@ -197,8 +199,8 @@
             item = OwnerItem("item", version=1)
             answers[name] = operator.try_change(operator.put_body(item))
 
-        racers = [("anong", "bkk-1"), ("deniz", "sgp-3")]
-        threads = [threading.Thread(target=operate, args=racer) for racer in racers]
+        operators = [("anong", "bkk-1"), ("deniz", "sgp-3")]
+        threads = [threading.Thread(target=operate, args=args) for args in operators]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -213,10 +215,10 @@
 
 class TestIsolatedRegion(ProcessCase):
     def test_host_restarts_in_an_isolated_region(self):
-        """A region cut off for an hour stops serving one host after another.
+        """Guards against hosts that can't serve after a restart in an isolated region.
 
-        Or worse, a host that restarts there serves an older view than before. The
-        hosts of cnx restart in turn: the one with a disk, and both without.
+        They must not serve an older view than before either. The hosts of cnx restart
+        one after the other: the one with a disk and both without.
         """
         revision = self.put("before")
         self.deployment.wait_revision(revision)
@@ -229,12 +231,12 @@
             status = self.status(host)
             self.assertEqual((status["ready"], status["revision"]), (True, revision))
             self.assertIn("before", self.items(host))
-            wait_until(lambda h=host: not self.status(h)["within_bound"], "it says so")
+            wait_until(lambda h=host: not self.status(h)["within_bound"], "it is stale")
         self.deployment.heal()
         self.deployment.wait_revision(later)
 
     def test_change_in_an_isolated_region_is_refused(self):
-        """An operator in the region without a quorum is told that it was accepted."""
+        """Guards against a change that is accepted in a region without a quorum."""
         self.deployment.isolate_region("cnx")
         operator = self.deployment.operator("cnx-2")
         body = operator.put_body(OwnerItem("item", version=1))
--- a/tests/test_agreement_repair.py
+++ b/tests/test_agreement_repair.py
@@ -1,4 +1,4 @@
-"""A voter whose disk was lost, and a second loss right after."""
+"""Repair of a voter whose disk was lost, and a second loss right after."""
 
 import unittest
 import zlib
@@ -20,27 +20,28 @@
     return next(v.storage for v in voters if v.host == host.name)
 
 
-def votes(host):
-    """Tell whether a host counts as a voter again; it may lead, too."""
+def is_voter(host):
+    """Return whether a host is a voter again, as a follower or the leader."""
     return host.status.role in ("follower", "leader")
 
 
-async def not_leading(cluster):
+async def followers(cluster):
     leader = await cluster.leader()
     return [host for host in cluster.hosts.values() if host is not leader]
 
 
 class TestRepair(unittest.TestCase):
-    def test_wiped_voter_is_repaired_and_a_second_loss_survived(self):
-        """Accepted changes vanish after two losses, one after the other.
+    def test_wiped_voter_is_repaired_and_a_second_loss_tolerated(self):
+        """Guards against the loss of accepted changes after two successive failures.
 
-        A voter's disk is replaced, it rejoins, and another voter is lost. Cause: the
-        rejoined voter was counted before it held what had been accepted. It must be
-        repaired first; then the rest goes on without the second one.
+        A voter's disk is replaced, the voter rejoins, and another voter is lost.
+        Changes are lost if the rejoined voter counts before it holds all accepted
+        changes. It must be repaired first; then the cluster continues without the
+        second voter.
         """
 
         async def scenario(cluster):
-            wiped, second = await not_leading(cluster)
+            wiped, second = await followers(cluster)
             for number in range(30):
                 await cluster["bkk1"].propose(f"owner{number}")
             leader = await cluster.leader()
@@ -53,28 +54,28 @@
             await until(
                 lambda: (
                     agreed_storage(leader, wiped) == wiped.status.storage
-                    and votes(wiped)
+                    and is_voter(wiped)
                 )
             )
             await second.stop()
             accepted = await wiped.propose("after")
             self.assertEqual(accepted.revision, 32)
-            await cluster.in_force(32, wiped.name, leader.name)
+            await cluster.wait_for_revision(32, wiped.name, leader.name)
             await second.start()
-            await cluster.in_force(32)
+            await cluster.wait_for_revision(32)
 
         run(scenario, THREE, snapshot_every=20)
 
     def test_second_loss_before_the_repair_stops_changes_but_loses_none(self):
-        """With the wiped voter not yet caught up, it must not form a quorum.
+        """A wiped voter that hasn't caught up must not be part of a quorum.
 
-        The link from the leader to the wiped voter is cut, so it can't catch up; then
-        the other voter is lost. A quorum of leader and wiped voter would accept
-        changes that one more loss erases. Nothing is accepted until one is back.
+        The wiped voter is isolated, so it can't catch up; then the other voter is
+        lost. A quorum of the leader and the wiped voter would accept changes that the
+        next loss erases. No change is accepted until the other voter is back.
         """
 
         async def scenario(cluster):
-            wiped, second = await not_leading(cluster)
+            wiped, second = await followers(cluster)
             leader = await cluster.leader()
             await leader.propose("before")
             await wiped.stop()
@@ -91,15 +92,18 @@
             await second.start()
             accepted = await second.propose("after")
             self.assertEqual(accepted.revision, 2)
-            await until(lambda: votes(wiped))
+            await until(lambda: is_voter(wiped))
 
         run(scenario, THREE)
 
     def test_wiped_voter_does_not_vote(self):
-        """A wiped voter votes a second time in a term, and two leaders result."""
+        """Guards against a wiped voter that votes twice in one term.
+
+        Two leaders could be elected in that term.
+        """
 
         async def scenario(cluster):
-            wiped, _ = await not_leading(cluster)
+            wiped, _ = await followers(cluster)
             leader = await cluster.leader()
             request = VoteRequest(
                 leader.status.cluster, leader.status.term + 1, "x", 99, 99, False
@@ -116,11 +120,11 @@
 
         run(scenario, THREE)
 
-    def test_wiped_voter_alone_begins_no_second_cluster(self):
-        """An operator runs 'cluster init' again on a wiped host: an empty catalogue."""
+    def test_wiped_voter_initialises_no_second_cluster(self):
+        """Guards against an empty catalogue after 'cluster init' on a wiped host."""
 
         async def scenario(cluster):
-            wiped, other = await not_leading(cluster)
+            wiped, other = await followers(cluster)
             await wiped.stop()
             wiped.wipe()
             cluster.isolate(wiped.name)
@@ -129,24 +133,27 @@
                 await wiped.agreement.initialise()
             self.assertEqual(wiped.status.role, "blank")
             cluster.heal()
-            await until(lambda: votes(wiped))
+            await until(lambda: is_voter(wiped))
             self.assertEqual(await wiped.agreement.initialise(), other.status.cluster)
 
         run(scenario, THREE)
 
     @params(True, False)
     def test_former_storage_that_returns_is_not_counted(self, same_host):
-        """A disk believed lost is mounted again and forms a quorum of old voters."""
+        """Guards against a replaced storage that forms a quorum with former voters.
+
+        A disk that was believed lost is mounted again.
+        """
 
         async def scenario(cluster):
-            wiped, second = await not_leading(cluster)
+            wiped, second = await followers(cluster)
             leader = await cluster.leader()
             await leader.propose("before")
             await wiped.stop()
             kept = {path.name: path.read_bytes() for path in wiped.folder.iterdir()}
             wiped.wipe()
             await wiped.start()
-            await until(lambda: votes(wiped))
+            await until(lambda: is_voter(wiped))
             await until(lambda: agreed_storage(second, wiped) == wiped.status.storage)
             await wiped.stop()
             for name, content in kept.items():
@@ -165,11 +172,11 @@
 
         run(scenario, THREE)
 
-    def test_learner_neither_votes_nor_stands(self):
-        """A storage that only catches up takes part in an election as if it counted."""
+    def test_learner_neither_votes_nor_campaigns(self):
+        """Guards against a learner that takes part in an election."""
 
         async def scenario(cluster):
-            wiped, _ = await not_leading(cluster)
+            wiped, _ = await followers(cluster)
             leader = await cluster.leader()
             await leader.propose("before")
             await wiped.stop()
@@ -198,25 +205,25 @@
                 await curio.sleep(0.01)
             self.assertNotIn("agreement.trial", wiped.metrics.counters())
             cluster.heal()
-            await until(lambda: votes(wiped))
+            await until(lambda: is_voter(wiped))
 
         run(scenario, THREE)
 
     def test_storage_that_lacks_entries_does_not_replace_another(self):
-        """Changes stop after a repair: the new voter holds nothing yet.
+        """Guards against a voter that is replaced by a storage without its entries.
 
-        Counted before it has caught up, it is needed for the next quorum while it
-        still takes in the whole log, and one more loss stops everything.
+        That storage would be needed for the next quorum while it still receives the
+        whole log, and one more loss would block all changes.
         """
 
         async def scenario(cluster):
-            gone, _ = await not_leading(cluster)
+            stopped, _ = await followers(cluster)
             leader = await cluster.leader()
             await leader.propose("item")
-            await gone.stop()
+            await stopped.stop()
             voter = leader.agreement._voter
             leadership = voter._leadership
-            progress = leadership._progress[gone.name]
+            progress = leadership._progress[stopped.name]
             progress.storage, progress.acked_at = "fresh", monotonic()
             progress.match_index = voter.commit_index - 1
             await leadership._repair_one_voter()
--- a/tests/test_agreement_seeded.py
+++ b/tests/test_agreement_seeded.py
@@ -1,4 +1,4 @@
-"""A core that forms from seeds, keeps one document, and replaces lost hosts."""
+"""A core that forms from seeds, replicates one document and replaces lost hosts."""
 
 import unittest
 
@@ -16,17 +16,18 @@
 
 class TestFormation(unittest.TestCase):
     @with_cluster(*FIVE)
-    async def test_all_hosts_with_disks_come_to_vote(self, cluster):
+    async def test_all_hosts_with_disks_become_voters(self, cluster):
         await cluster.put("b2", 3, b"three")
         await cluster.until(lambda: cluster.voters("a1") == set(FIVE))
         self.assertEqual(await cluster.read("c1"), (3, b"three"))
 
     @with_cluster("a1", "b1", "c1")
     async def test_wiped_seeds_never_form_a_second_cluster(self, cluster):
-        """Symptom: an accepted catalogue is gone, and an empty one is served.
-        Sequence: a majority of the disks is lost; the hosts start again, blank.
-        Cause: blank seeds took themselves for a system that starts for the first
-        time. They must wait instead for the disk that still knows."""
+        """Guards against an empty catalogue that replaces an accepted one.
+
+        A majority of the disks is lost and the hosts restart with blank disks. The
+        fault occurs if blank seeds act as at the first start of the system. They must
+        wait for the host that still has its disk."""
         await cluster.put("a1", 1)
         first = cluster.running["c1"]._voter.log.identity.cluster
         for name in ("a1", "b1"):
@@ -36,14 +37,14 @@
         await curio.sleep(1.5)
         with self.assertRaises(AgreementError):
             await cluster.read("a1", timeout=0.5)
-        # Where c1 led and still sends, the blank ones follow it; a third cluster is
-        # what must not be.
+        # If c1 was the leader and still sends, the blank hosts follow it. They must not
+        # belong to any other cluster.
         for name in ("a1", "b1"):
             found = cluster.running[name]._voter.log.identity.cluster
             self.assertIn(found, ("", first))
 
     @with_cluster(*FIVE)
-    async def test_host_gone_for_good_is_replaced_at_another_address(self, cluster):
+    async def test_permanently_lost_host_is_replaced_at_another_address(self, cluster):
         await cluster.put("a1", 1)
         await cluster.until(lambda: cluster.voters("a1") == set(FIVE))
         await cluster.stop("b1")
@@ -54,9 +55,7 @@
         self.assertEqual(await cluster.read("a2"), (2, b"x"))
 
     @with_cluster(*FIVE)
-    async def test_wiped_host_is_counted_again_and_a_second_loss_is_survived(
-        self, cluster
-    ):
+    async def test_wiped_host_votes_again_and_a_second_loss_is_tolerated(self, cluster):
         await cluster.put("a1", 1, b"kept")
         await cluster.until(lambda: cluster.voters("a1") == set(FIVE))
         await cluster.wipe("c1")
@@ -69,11 +68,11 @@
 
     @with_cluster("a1", "b1", "c1", "a2")
     async def test_host_without_a_vote_follows_the_next_leader(self, cluster):
-        """Symptom: entry hosts of one region serve an older catalogue for seconds.
-        Sequence: the leader is lost; a host that knew it and has no vote asks it to be
-        followed up, again and again; the next leader doesn't know of that host.
-        Cause: it asked nobody else while it remembered a leader. (Hunt of
-        karadeniz-grown, day hunt-64fc-7.)"""
+        """Guards against entry hosts that serve an old catalogue for seconds.
+
+        The leader is lost. A learner that knew it repeats its join request to it alone,
+        and the next leader doesn't know that learner. The learner must send join
+        requests to other hosts too."""
         await cluster.put("a1", 1)
         learner = cluster.running["a2"]
         await cluster.until(lambda: learner.document and learner.document.version == 1)
@@ -86,9 +85,9 @@
 
 class TestDocument(unittest.TestCase):
     @params(
-        ((1, b"a"), (2, b"b"), (2, b"b")),  # the higher version is in force
-        ((5, b"a"), (4, b"b"), (5, b"a")),  # an overtaken one changes nothing
-        ((5, b"a"), (5, b"b"), (5, b"a")),  # nor does another of the same number
+        ((1, b"a"), (2, b"b"), (2, b"b")),  # the higher version takes effect
+        ((5, b"a"), (4, b"b"), (5, b"a")),  # a lower version has no effect
+        ((5, b"a"), (5, b"b"), (5, b"a")),  # an equal version has no effect
     )
     def test_highest_version_wins(self, first, second, expected):
         async def main():
@@ -100,7 +99,7 @@
         self.assertEqual(curio.run(main), [expected] * 3)
 
     @with_cluster("a1", "b1", "c1")
-    async def test_two_operators_with_one_number_get_one_document(self, cluster):
+    async def test_concurrent_documents_of_one_version_give_one_document(self, cluster):
         async with curio.TaskGroup() as group:
             for number, name in enumerate(cluster.names):
                 await group.spawn(cluster.put, name, 7, b"%d" % number)
@@ -108,23 +107,24 @@
         self.assertEqual(len(documents), 1)
 
     @with_cluster("a1", "b1", "c1")
-    async def test_host_that_is_cut_off_gives_no_old_document(self, cluster):
+    async def test_isolated_host_returns_no_stale_document(self, cluster):
         await cluster.put("a1", 1)
-        PartitionablePeers.cut = {"c1"}
+        PartitionablePeers.isolated_hosts = {"c1"}
         with self.assertRaises(AgreementError):
-            # The others may go on at any moment, also right now.
+            # The other hosts may accept a newer document at any time from now on.
             await curio.sleep(1.5)
             await cluster.read("c1", timeout=0.8)
-        PartitionablePeers.cut = set()
+        PartitionablePeers.isolated_hosts = set()
         await cluster.put("a1", 2)
         self.assertEqual(await cluster.read("c1"), (2, b"x"))
 
     @with_cluster(*FIVE)
-    async def test_everything_is_there_after_all_hosts_were_killed(self, cluster):
-        """Symptom: after a kill of the whole core nothing was served any more.
-        Sequence: hosts join by the leader's snapshot, acknowledge changes, and all
-        hosts are started again at once.
-        Cause: see test_agreement_storage; the quorum had forgotten the changes."""
+    async def test_accepted_changes_survive_restart_of_all_hosts(self, cluster):
+        """Guards against a core that can't serve after all its hosts were killed.
+
+        Hosts join through the leader's snapshot, acknowledge changes, and are all
+        restarted at once. The fault occurs if a quorum loses these changes; see
+        test_agreement_storage."""
         await cluster.until(lambda: cluster.voters("a1") == set(FIVE))
         await cluster.put("a1", 9, b"nine")
         await cluster.running["b1"].close_data_center("a-x", True, 10.0)
@@ -136,32 +136,31 @@
         await cluster.until(lambda: cluster.running["c1"].closed == {"a-x"})
 
     @with_cluster(*FIVE)
-    async def test_restarted_host_confirms_nothing_before_it_hears_a_leader(
-        self, cluster
-    ):
-        """Symptom: a route was refused with 404 though its change had been accepted.
-        Sequence: a host is restarted and reads its snapshot; an entry host asks it
-        before any leader has told which later entries were agreed.
-        Cause: the snapshot's document was given out as the newest."""
+    async def test_restarted_host_confirms_nothing_before_leader_contact(self, cluster):
+        """Guards against a route refused with 404 although its change was accepted.
+
+        A host restarts and reads its snapshot. An entry host queries it before a leader
+        has sent the commit index of later entries. The fault occurs if the snapshot's
+        document is returned as the newest one."""
         await cluster.put("a1", 1)
         await cluster.stop("c1")
-        PartitionablePeers.cut = {"c1"}
+        PartitionablePeers.isolated_hosts = {"c1"}
         await cluster.start("c1")
         await curio.sleep(0.3)
         self.assertIsNone(cluster.running["c1"].confirmed_age())
-        PartitionablePeers.cut = set()
+        PartitionablePeers.isolated_hosts = set()
         await cluster.until(lambda: cluster.running["c1"].confirmed_age() is not None)
         self.assertEqual(cluster.running["c1"].document.version, 1)
 
 
 async def answer_candidate(set_up, storage="other", trial=True, unled=True):
-    """Return what a voter that has lost its leader answers to the next candidate.
+    """Return the reply of a voter without a leader to a vote request.
 
     Args:
-        set_up: Called with the voter and its ballot before the question.
-        storage: The candidate's.
-        trial: As of the request.
-        unled: As of the request.
+        set_up: Called with the voter and its vote handler before the request.
+        storage: The candidate's storage.
+        trial: Field of the request: it is a pre-vote.
+        unled: Field of the request: every voter reported that there is no leader.
     """
     async with SeededCluster("a1", "b1", "c1") as cluster:
         await cluster.put("a1", 1)
@@ -188,37 +187,43 @@
 
 class TestEarlyElection(unittest.TestCase):
     @params((False, True, True), (True, True, False), (False, False, False))
-    def test_votes_that_are_not_withheld(self, has_heard, unled, granted):
-        """A restarted voter doesn't know what it has promised a leader. Only where
-        every voter says that none leads, and it has heard none, it votes at once."""
+    def test_early_vote_needs_voters_without_leader_contact(
+        self, has_contact, unled, granted
+    ):
+        """A restarted voter doesn't know which leader it answered before the restart.
+
+        It votes at once only if every voter reports that there is no leader and it has
+        had no contact with a leader itself."""
 
         def set_up(voter, vote_handler):
-            voter.has_leader_contact = has_heard
+            voter.has_leader_contact = has_contact
 
         reply = curio.run(answer_candidate, set_up, "other", False, unled)
         self.assertEqual(reply.granted, granted)
 
     @params(
-        # gave a vote, seconds ago; stands itself; candidate's storage; granted, leads
+        # seconds since its vote, own candidacy, candidate's storage, granted, leads
         (None, False, "zz", True, False),
         (0.0, False, "zz", False, True),
         (5.0, False, "zz", True, False),
         (None, True, "zz", False, True),
         (None, True, "00", True, False),
     )
-    def test_an_election_that_is_under_way_is_not_disturbed(
-        self, voted, stands, candidate, granted, leads
+    def test_ongoing_early_election_is_not_disrupted(
+        self, vote_age, campaigns, candidate, granted, leads
     ):
-        """Symptom: after a kill of the whole core it takes 2 s longer some times.
-        Sequence: all voters have just started; one is elected, and before its first
-        message is heard, another stands in the next term and deposes it.
-        Cause: voters that had just voted, or stood themselves, voted again at once."""
+        """Guards against a restart of the whole core that sometimes takes 2 s longer.
+
+        All voters have just started and one is elected. Before its first message
+        arrives, another one campaigns in the next term and deposes it. The fault
+        occurs if voters that have just voted or campaign themselves vote again at
+        once."""
 
         def set_up(voter, vote_handler):
             voter.has_leader_contact = False
-            voter.is_early_candidate = stands
-            if voted is not None:
-                vote_handler.granted_at = monotonic() - voted
+            voter.is_early_candidate = campaigns
+            if vote_age is not None:
+                vote_handler.granted_at = monotonic() - vote_age
 
         reply = curio.run(answer_candidate, set_up, candidate)
         self.assertEqual((reply.granted, reply.leads), (granted, leads))
--- a/tests/test_agreement_storage.py
+++ b/tests/test_agreement_storage.py
@@ -1,4 +1,4 @@
-"""What a voter holds after a snapshot was installed, and before its log is read."""
+"""Durable state of a voter after a snapshot is installed and before its log is read."""
 
 import tempfile
 import unittest
@@ -31,15 +31,14 @@
 
 class TestInstalledSnapshot(unittest.TestCase):
     @params((0, 3), (3, 4), (7, 12))
-    def test_entries_behind_an_installed_snapshot_are_there_after_a_restart(
-        self, index, last
-    ):
-        """Symptom: after a loss of power a core of five found no quorum, and what it
-        had acknowledged was gone.
-        Sequence: a host joins and gets the leader's snapshot; it acknowledges the
-        entries that follow; it is restarted.
-        Cause: the log was taken for one from before the snapshot, as it didn't hold
-        the entry at the snapshot's position, and its entries were dropped."""
+    def test_entries_after_an_installed_snapshot_survive_a_restart(self, index, last):
+        """Guards against acknowledged entries that are lost at a restart.
+
+        After a power failure a core of five had no quorum and its acknowledged changes
+        were lost. A host joins, receives the leader's snapshot, acknowledges the
+        entries after it and restarts. The fault occurs if the log doesn't hold the
+        entry at the snapshot's position: it is then treated as older than the snapshot
+        and its entries are dropped."""
 
         async def run(folder):
             log = VoterLog(folder)
@@ -58,8 +57,8 @@
         self.assertEqual((index_found, term, storage), (last, 2, before))
 
     def test_an_older_log_beside_a_new_snapshot_is_still_dropped(self):
-        """A crash between the snapshot and the rewriting of the log leaves entries of
-        another history, which must not follow the snapshot."""
+        """A crash between writing the snapshot and rewriting the log leaves entries of
+        another history, which must not be used after the snapshot."""
 
         async def run(folder):
             log = VoterLog(folder)
@@ -79,12 +78,13 @@
             self.assertEqual(curio.run(run, Path(folder)), 5)
 
 
-class TestBeforeTheLogIsRead(unittest.TestCase):
-    def test_messages_that_come_early_touch_nothing(self):
-        """Symptom: a wiped voter did not start: its log lacked the storage's identity.
-        Sequence: its links are up before its log is read; a leader's snapshot arrives
-        while the log is being read, and is installed under an empty identity.
-        Cause: the voter took messages before it was started."""
+class TestMessagesBeforeStart(unittest.TestCase):
+    def test_messages_before_the_log_is_read_have_no_effect(self):
+        """Guards against a wiped voter whose log lacks the storage's identity.
+
+        Such a voter doesn't start. Its links are up before its log is read, and a
+        leader's snapshot that arrives in between is installed with an empty identity.
+        The fault occurs if a voter handles messages before it is started."""
 
         async def run(folder):
             voter = Voter(
--- a/tests/test_agreement_validation.py
+++ b/tests/test_agreement_validation.py
@@ -1,4 +1,4 @@
-"""Items that contradict themselves are refused with a remedy."""
+"""Contradictory items are refused with a remedy."""
 
 import unittest
 
@@ -41,7 +41,7 @@
         service(Route("GET", "/"), Route("POST", "/", idempotent=False)),
         OwnerItem("saphan"),
     )
-    def test_sound_items_pass(self, item):
+    def test_consistent_items_pass(self, item):
         self.assertEqual(find_contradictions(item), [])
 
     @params(
@@ -73,12 +73,12 @@
         change = make_change(Put(OwnerItem("x")), change_id=change_id or "no")
         self.assertIn("UUIDv7", change_problems(change)[0])
 
-    def test_patch_is_not_for_operators(self):
-        """It would get past the search for contradictions."""
+    def test_operators_cannot_send_patches(self):
+        """A patch can't be checked for contradictions."""
         change = make_change(PatchTargets(model(), [], []))
         self.assertIn("send it with 'put'", change_problems(change)[0])
 
     @params((0, "olive", "version"), (1, "", "operator"))
-    def test_change_must_be_whole(self, version, operator, word):
+    def test_change_must_be_complete(self, version, operator, word):
         change = make_change(Put(OwnerItem("x")), version, operator)
         self.assertIn(word, change_problems(change)[0])
--- a/tests/test_agreement_voting.py
+++ b/tests/test_agreement_voting.py
@@ -1,4 +1,4 @@
-"""Terms, votes and leases under cuts and restarts."""
+"""Terms, votes and leases during partitions and restarts."""
 
 import unittest
 
@@ -15,20 +15,20 @@
 FIVE = "bkk1 bkk2 sgp1 sgp2 cnx1"
 
 
-def vote_request(cluster, term, trial=False):
-    """Ask as a storage whose log is ahead of everybody's."""
+def vote_request(cluster, term, pre_vote=False):
+    """Return the request of a candidate whose log is ahead of all others."""
     status = cluster["bkk1"].status
-    return VoteRequest(status.cluster, term, "candidate", 10_000, term, trial)
+    return VoteRequest(status.cluster, term, "candidate", 10_000, term, pre_vote)
 
 
 class TestLeases(unittest.TestCase):
     @params(THREE, FIVE)
-    def test_one_leader_at_a_time_through_a_cut(self, voters):
-        """A leader cut off in silence goes on acting beside its successor.
+    def test_one_leader_at_a_time_during_a_partition(self, voters):
+        """Guards against an isolated leader that continues to act beside its successor.
 
-        The leader's links are cut both ways; it hears nothing and is told nothing.
-        The others elect another one. Cause: a leader that trusts its role instead of
-        a lease by its own clock. At each observation at most one host may hold it.
+        The leader's messages are dropped in both directions and the others elect
+        another leader. The fault occurs if a leader relies on its role instead of a
+        lease by its own clock. At most one host may hold the lease at any time.
         """
 
         async def scenario(cluster):
@@ -50,13 +50,13 @@
 
         run(scenario, voters)
 
-    def test_stalled_leader_has_no_lease_when_it_goes_on(self):
-        """A leader stalls for longer than its lease, wakes, and acts once more.
+    def test_stalled_leader_has_no_lease_when_it_resumes(self):
+        """Guards against a leader that acts after it stalled longer than its lease.
 
-        Its disk or its process hangs, so that it can't even notice that the quorum is
-        gone; the others elect another leader meanwhile. Cause: a role that ends by a
-        task which hangs as well, instead of a lease that is compared with the clock
-        at each act.
+        Its disk or process hangs, so it can't detect that it has lost the quorum, and
+        the others elect another leader. The fault occurs if its role is ended only by
+        a task, which hangs as well, instead of a lease that is compared with the clock
+        before each action.
         """
 
         async def scenario(cluster):
@@ -76,7 +76,7 @@
         with self.assertRaisesRegex(SettingsUnsafe, "Remedy"):
             run(None, THREE, lease=0.6, election_timeout=0.6)
 
-    def test_leader_without_quorum_takes_no_change(self):
+    def test_leader_without_quorum_accepts_no_change(self):
         async def scenario(cluster):
             leader = await cluster.leader()
             cluster.isolate(leader.name)
@@ -88,18 +88,18 @@
             cluster.heal()
             await until(lambda: leader.status.role == "follower")
             accepted = await leader.propose("after")
-            await cluster.in_force(accepted.revision)
+            await cluster.wait_for_revision(accepted.revision)
 
         run(scenario, THREE)
 
 
 class TestVotes(unittest.TestCase):
-    def test_voter_back_from_a_cut_does_not_depose_the_leader(self):
-        """Healing a partition makes the catalogue refuse changes for a while.
+    def test_voter_back_from_a_partition_does_not_depose_the_leader(self):
+        """Guards against changes being refused for a while after a partition heals.
 
-        A voter alone behind a cut stands again and again and raises its term; when
-        the cut heals, its higher term deposes the healthy leader. Cause: candidacy
-        without asking first whether anybody would agree.
+        An isolated voter campaigns repeatedly and raises its term; when the partition
+        heals, its higher term deposes the healthy leader. The fault occurs if it
+        becomes a candidate without a pre-vote round.
         """
 
         async def scenario(cluster):
@@ -107,24 +107,24 @@
             other = next(h for h in cluster.hosts.values() if h is not leader)
             term = leader.status.term
             cluster.isolate(other.name)
-            tried = other.metrics.counters
-            await until(lambda: tried().get("agreement.trial", 0) >= 3)
+            counters = other.metrics.counters
+            await until(lambda: counters().get("agreement.trial", 0) >= 3)
             cluster.heal()
             before = other.status.commit_index
             accepted = await leader.propose("after")
-            await cluster.in_force(accepted.revision)
-            # Its view may come from another host before the leader's next message.
+            await cluster.wait_for_revision(accepted.revision)
+            # Its view may be updated by another host before the leader's next message.
             await until(lambda: other.status.commit_index > before)
             self.assertEqual({h.status.term for h in cluster.hosts.values()}, {term})
 
         run(scenario, THREE)
 
-    def test_vote_is_withheld_while_a_leader_is_heard(self):
-        """Two leaders act at once although each counts its lease well.
+    def test_vote_is_withheld_while_a_leader_is_live(self):
+        """Guards against two leaders with valid leases at the same time.
 
-        A candidate with a higher term asks a voter that has just answered the
-        leader's heartbeat. Cause: a vote given before the lease that the leader
-        counts from that answer can have ended.
+        A candidate with a higher term requests the vote of a voter that has just
+        answered the leader's heartbeat. The fault occurs if the vote is granted before
+        the lease based on that answer can have expired.
         """
 
         async def scenario(cluster):
@@ -143,11 +143,11 @@
         run(scenario, THREE)
 
     def test_restarted_voter_withholds_its_vote(self):
-        """Two leaders act at once after a voter's restart.
+        """Guards against two leaders at the same time after a voter's restart.
 
-        A voter answers a heartbeat, restarts, and has forgotten that it did; a
-        candidate gets its vote at once. Cause: the answer isn't on disk, so only
-        time since the start can stand for it.
+        A voter answers a heartbeat and restarts, and a candidate gets its vote at
+        once. Answers aren't stored on disk, so a restarted voter must wait for the
+        election timeout instead.
         """
 
         async def scenario(cluster):
@@ -171,10 +171,10 @@
         run(scenario, THREE)
 
     def test_vote_survives_a_restart(self):
-        """Two leaders are elected in one term.
+        """Guards against the election of two leaders in one term.
 
-        A voter gives its vote, restarts, and gives another one in the same term.
-        Cause: an answer that left before the vote was on the disk.
+        A voter grants its vote, restarts, and grants another one in the same term. The
+        fault occurs if the reply is sent before the vote is synced to disk.
         """
 
         async def scenario(cluster):
@@ -184,15 +184,15 @@
             term = leader.status.term + 50
             request = vote_request(cluster, term)
 
-            async def ask(storage):
+            async def request_vote(storage):
                 request.storage = storage
                 return (await voter.agreement._voter.handle("x", request)).granted
 
-            while not await ask("one"):
+            while not await request_vote("one"):
                 await curio.sleep(0.01)
             await voter.restart()
             for _ in range(150):
-                self.assertFalse(await ask("two"))
+                self.assertFalse(await request_vote("two"))
                 await curio.sleep(0.01)
 
         run(scenario, THREE)
@@ -209,8 +209,8 @@
         run(scenario, THREE)
 
 
-class TestGenesis(unittest.TestCase):
-    def begin(self, scenario, voters=THREE):
+class TestInitialisation(unittest.TestCase):
+    def run_uninitialised(self, scenario, voters=THREE):
         async def main():
             cluster = Cluster(voters)
             try:
@@ -221,7 +221,7 @@
 
         curio.run(main)
 
-    def test_racing_operators_begin_one_cluster(self):
+    def test_concurrent_initialisation_creates_one_cluster(self):
         async def scenario(cluster):
             async with curio.TaskGroup() as group:
                 tasks = [
@@ -234,18 +234,18 @@
             self.assertEqual(again, tasks[0].result)
             await cluster.leader()
 
-        self.begin(scenario)
+        self.run_uninitialised(scenario)
 
-    def test_nothing_begins_while_a_voter_is_out_of_reach(self):
+    def test_initialisation_fails_while_a_voter_is_unreachable(self):
         async def scenario(cluster):
             await cluster["cnx1"].stop()
             with self.assertRaisesRegex(Exception, "cnx1.*Remedy"):
                 await cluster["bkk1"].agreement.initialise()
             self.assertEqual(cluster["bkk1"].status.role, "blank")
 
-        self.begin(scenario)
+        self.run_uninitialised(scenario)
 
-    def test_interrupted_beginning_is_completed(self):
+    def test_interrupted_initialisation_is_completed(self):
         async def scenario(cluster):
             await cluster["bkk1"].agreement.initialise()
             for name in ("sgp1", "cnx1"):
@@ -253,7 +253,7 @@
             cluster["cnx1"].wipe()
             for name in ("sgp1", "cnx1"):
                 await cluster[name].start()
-            begun = cluster["bkk1"].status.cluster
-            self.assertEqual(await cluster["cnx1"].agreement.initialise(), begun)
+            cluster_id = cluster["bkk1"].status.cluster
+            self.assertEqual(await cluster["cnx1"].agreement.initialise(), cluster_id)
 
-        self.begin(scenario)
+        self.run_uninitialised(scenario)
