--- a/tests/_seeded_cluster.py
+++ b/tests/_seeded_cluster.py
@@ -1,4 +1,4 @@
-"""Hosts of a core that forms itself, in this process, on links that tests can cut."""
+"""Hosts of a core formed from seeds, in this process; tests can isolate them."""
 
 import shutil
 import tempfile
@@ -17,19 +17,19 @@
 TIMES = AgreementSection(voters_wanted=5, replace_after=1.0)
 
 
-class CuttablePeers(Peers):
-    """Peers whose messages are lost in silence where the test cuts a host off."""
+class PartitionablePeers(Peers):
+    """Peers whose messages to and from isolated hosts are dropped without an error."""
 
-    cut: set = set()
+    isolated_hosts: set = set()
 
     def _send_payload(self, peer, frame, area, call_id, payload):
-        if self._name in self.cut or peer in self.cut:
+        if self._name in self.isolated_hosts or peer in self.isolated_hosts:
             return True
         return super()._send_payload(peer, frame, area, call_id, payload)
 
 
 class SeededCluster:
-    """Hosts ``a1``, ``b1``, …; the letter is the region, the first three the seeds."""
+    """Hosts ``a1``, ``b1``, …; the letter is the region, the first three are seeds."""
 
     def __init__(self, *names):
         self.names = names
@@ -41,7 +41,7 @@
         self.running = {}
         self.peers = {}
         self.metrics = {}
-        CuttablePeers.cut = set()
+        PartitionablePeers.isolated_hosts = set()
 
     async def __aenter__(self):
         for name in self.names:
@@ -59,7 +59,7 @@
             self.addresses[name] = self.ports.address()
         address = self.addresses[name]
         self.metrics[name] = Metrics()
-        peers = CuttablePeers(
+        peers = PartitionablePeers(
             name, address, b"key", self.metrics[name], self.addresses.get
         )
         agreement = SeededAgreement(
@@ -119,4 +119,4 @@
     return decorate
 
 
-__all__ = ["AgreementError", "CuttablePeers", "SeededCluster", "with_cluster"]
+__all__ = ["AgreementError", "PartitionablePeers", "SeededCluster", "with_cluster"]
