--- a/packages/schema/src/bronzepoint_schema/ids.py
+++ b/packages/schema/src/bronzepoint_schema/ids.py
@@ -1,4 +1,4 @@
-"""Distinct types for the identifiers that cross module borders."""
+"""Distinct types of the identifiers used in several packages."""
 
 from typing import NewType
 
@@ -11,19 +11,19 @@
 CallerName = NewType("CallerName", str)
 OperatorName = NewType("OperatorName", str)
 RequestId = NewType("RequestId", str)
-"""``<host name>.<uuid7 hex>``: the host that took the request, then a unique part."""
+"""``<host name>.<uuid7 hex>``: the host that received the request and a unique part."""
 IdempotencyKey = NewType("IdempotencyKey", str)
-"""A UUIDv7 chosen by the caller; its time part bounds how long it may be resent."""
+"""A UUIDv7 chosen by the caller; its timestamp limits how long it may be resent."""
 ChangeId = NewType("ChangeId", str)
 Revision = NewType("Revision", int)
-"""Position of a catalogue change in the agreed log; 0 is the empty catalogue."""
+"""Position of a catalogue change in the replicated log; 0: the empty catalogue."""
 ClusterId = NewType("ClusterId", str)
-"""Digest of the first set of voters; hosts of different clusters never mix."""
+"""Digest of the initial set of voters; hosts of different clusters don't interact."""
 StorageId = NewType("StorageId", str)
-"""Random name of one voter's data folder, made when the folder was empty."""
+"""Random identifier of a voter's data folder, created when the folder was empty."""
 Term = NewType("Term", int)
 Fingerprint = NewType("Fingerprint", str)
-"""Digest of host name, path, caller and body; the same for each repeat of a request."""
+"""Digest of host name, path, caller and body; the same if a request is repeated."""
 FencingNumber = NewType("FencingNumber", int)
 OrganisationName = NewType("OrganisationName", str)
 KeyDigest = NewType("KeyDigest", str)
