--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client side: kept connections, answers that are late, cut or bad."""
+"""HTTP client: reused connections; late, truncated and invalid answers."""
 
 import socket
 import unittest
@@ -25,30 +25,30 @@
 
 
 async def has_ended(sock: curio.io.Socket) -> bool:
-    """Wait for what comes next; True where the client has closed its connection."""
+    """Wait for data or the end; return whether the client closed its connection."""
     try:
         return not await sock.recv(100)
     except ConnectionResetError:
         return True
 
 
-class Script:
-    """A server that plays given bytes: one list of answers for each connection.
+class ScriptedServer:
+    """A server that sends given bytes: one list of answers for each connection.
 
-    After the last answer of a connection it closes it, or, with ``silent``,
-    keeps it open without a word. ``late`` is sent when ``speak_late`` is set.
+    It closes a connection after its last answer, or keeps it open and idle if
+    ``keep_open`` is set. ``late`` is sent when ``send_late`` is set.
     """
 
-    def __init__(self, *connections: list[bytes], silent: bool = False) -> None:
+    def __init__(self, *connections: list[bytes], keep_open: bool = False) -> None:
         self.connections = list(connections)
-        self.silent = silent
+        self.keep_open = keep_open
         self.accepted = 0
-        self.asked = 0
-        self.left = curio.Event()
+        self.received = 0
+        self.disconnected = curio.Event()
         self.late = b""
-        self.speak_late = curio.Event()
+        self.send_late = curio.Event()
 
-    async def __aenter__(self) -> "Script":
+    async def __aenter__(self) -> "ScriptedServer":
         self.listener = curio.network.tcp_server_socket("127.0.0.1", 0)
         self.address = format_address(*self.listener.getsockname())
         self.task = await curio.spawn(self.accept)
@@ -73,13 +73,13 @@
             for answer in answers:
                 if not await read_until(sock, b"\r\n\r\n"):
                     break
-                self.asked += 1
+                self.received += 1
                 await sock.sendall(answer)
             if self.late:
-                await self.speak_late.wait()
+                await self.send_late.wait()
                 await sock.sendall(self.late)
-            if self.silent and await has_ended(sock):
-                await self.left.set()
+            if self.keep_open and await has_ended(sock):
+                await self.disconnected.set()
 
     async def fetch(self, fresh: bool = False, timeout: float = 20.0) -> bytes:
         answer = await self.client.fetch(
@@ -88,8 +88,8 @@
         return answer.body
 
     async def wait_readable(self) -> None:
-        """Wait until bytes or the end have come on the kept connection."""
-        sock = self.client._pool._kept[self.address][0].wire._sock._socket
+        """Wait until data or the end has arrived on the idle connection."""
+        sock = self.client._pool._idle[self.address][0].wire._sock._socket
         while True:
             try:
                 sock.recv(1, socket.MSG_PEEK)
@@ -100,9 +100,9 @@
 
 class ClientTest(unittest.TestCase):
     @params(
-        ("cut head", b"HTTP/1.1 200 OK\r\nConte", AnswerCut),
-        ("cut body", WHOLE[:-1], AnswerCut),
-        ("cut chunk", CHUNKED + b"5\r\nwho", AnswerCut),
+        ("truncated head", b"HTTP/1.1 200 OK\r\nConte", AnswerCut),
+        ("truncated body", WHOLE[:-1], AnswerCut),
+        ("truncated chunk", CHUNKED + b"5\r\nwho", AnswerCut),
         ("no last chunk", CHUNKED + b"5\r\nwhole\r\n", AnswerCut),
         ("nothing", b"", AnswerCut),
         ("no HTTP", b"SSH-2.0-x\r\n\r\n", AnswerMalformed),
@@ -110,36 +110,36 @@
         ("no length", b"HTTP/1.1 200 OK\r\n\r\nwhole", AnswerMalformed),
         ("too large", CHUNKED + b"1400\r\n" + b"x" * 0x1400, AnswerMalformed),
     )
-    def test_an_answer_that_is_not_whole_is_an_error(self, _, answer, kind) -> None:
-        """Symptom: a caller gets a part of an answer as if it were all."""
+    def test_an_incomplete_answer_is_an_error(self, _, answer, kind) -> None:
+        """Guards against a truncated answer that is relayed as a complete one."""
 
         async def main() -> None:
-            async with Script([answer]) as script:
+            async with ScriptedServer([answer]) as script:
                 with self.assertRaises(kind) as raised:
                     await script.fetch()
                 self.assertIn(script.address, str(raised.exception))
 
         run(main)
 
-    def test_a_silent_server_times_out(self) -> None:
+    def test_an_unresponsive_server_times_out(self) -> None:
         async def main() -> None:
-            async with Script([b""], silent=True) as script:
+            async with ScriptedServer([b""], keep_open=True) as script:
                 with self.assertRaises(AnswerTimeout):
                     await script.fetch(timeout=0.05)
-                await script.left.wait()
+                await script.disconnected.wait()
 
         run(main)
 
-    def test_a_stream_that_stops_in_the_middle_times_out(self) -> None:
-        """Symptom: an answer hangs for ever, and holds a slot of its target.
+    def test_a_stream_that_stalls_times_out(self) -> None:
+        """Guards against an answer that hangs and occupies a slot of its target.
 
-        The server sends a part and then nothing; its connection stays open. Each
-        wait for a further piece is bounded, not the whole answer.
+        The server sends a part and then nothing, on an open connection. The timeout
+        applies to each further piece, not to the whole answer.
         """
 
         async def main() -> None:
             part = CHUNKED + b"4\r\npart\r\n"
-            async with Script([part], silent=True) as script:
+            async with ScriptedServer([part], keep_open=True) as script:
                 async with script.client.stream(
                     script.address, "GET", "/", {}, b"", 20.0
                 ) as answer:
@@ -147,7 +147,7 @@
                     answer.timeout = 0.01
                     with self.assertRaises(AnswerTimeout):
                         await answer.read()
-                await script.left.wait()
+                await script.disconnected.wait()
 
         run(main)
 
@@ -156,9 +156,9 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE, 200),
         (b"HTTP/1.1 200 OK\r\nX-Name: \xe9\r\nContent-Length: 0\r\n\r\n", 200),
     )
-    def test_unusual_but_whole_answers(self, answer, status) -> None:
+    def test_unusual_but_complete_answers(self, answer, status) -> None:
         async def main() -> None:
-            async with Script([answer, WHOLE], silent=True) as script:
+            async with ScriptedServer([answer, WHOLE], keep_open=True) as script:
                 got = await script.client.fetch(
                     script.address, "GET", "/", {"X-Name": "\xe9"}, b"", 20.0
                 )
@@ -168,7 +168,7 @@
 
         run(main)
 
-    def test_nobody_listening_is_certainly_not_sent(self) -> None:
+    def test_refused_connection_raises_connect_failed(self) -> None:
         async def main() -> None:
             with socket.socket() as sock:
                 sock.bind(("127.0.0.1", 0))
@@ -179,9 +179,11 @@
 
         run(main)
 
-    def test_a_whole_exchange_keeps_its_connection(self) -> None:
+    def test_the_connection_of_a_complete_exchange_is_reused(self) -> None:
         async def main() -> None:
-            async with Script([WHOLE, WHOLE], [WHOLE], silent=True) as script:
+            async with ScriptedServer(
+                [WHOLE, WHOLE], [WHOLE], keep_open=True
+            ) as script:
                 self.assertEqual(await script.fetch(), b"whole")
                 self.assertEqual(await script.fetch(), b"whole")
                 self.assertEqual(script.accepted, 1)
@@ -191,43 +193,43 @@
         run(main)
 
     @params(("late answer", WHOLE + WHOLE), ("late bytes", WHOLE + b"x"))
-    def test_bytes_after_a_whole_answer_close_the_connection(self, _, first) -> None:
-        """Symptom: a caller gets the answer to another caller's request.
+    def test_data_after_an_answer_closes_the_connection(self, _, first) -> None:
+        """Guards against a caller that gets the answer to another caller's request.
 
-        A target answers twice; the second answer waits on the kept connection
-        and would be read as the answer to whatever is sent next.
+        A target answers twice; the second answer stays in the buffer of the reused
+        connection and would be read as the answer to the next request.
         """
 
         async def main() -> None:
             other = WHOLE.replace(b"whole", b"other")
-            async with Script([first], [other], silent=True) as script:
+            async with ScriptedServer([first], [other], keep_open=True) as script:
                 self.assertEqual(await script.fetch(), b"whole")
                 self.assertEqual(await script.fetch(), b"other")
 
         run(main)
 
-    def test_bytes_that_come_while_idle_close_the_connection(self) -> None:
-        """As above, but the second answer comes after the first was read."""
+    def test_data_on_an_idle_connection_closes_it(self) -> None:
+        """As above, but the second answer arrives after the first was read."""
 
         async def main() -> None:
             other = WHOLE.replace(b"whole", b"other")
-            async with Script([WHOLE], [other], silent=True) as script:
+            async with ScriptedServer([WHOLE], [other], keep_open=True) as script:
                 script.late = WHOLE
                 self.assertEqual(await script.fetch(), b"whole")
-                await script.speak_late.set()
+                await script.send_late.set()
                 await script.wait_readable()
                 self.assertEqual(await script.fetch(), b"other")
 
         run(main)
 
-    def test_a_stale_kept_connection_is_not_taken(self) -> None:
-        """Symptom: the first request after a quiet time fails.
+    def test_a_closed_idle_connection_is_not_reused(self) -> None:
+        """Guards against a first request after a pause that fails.
 
-        The server has closed the kept connection; the close has arrived.
+        The server has closed the idle connection, and the FIN has arrived.
         """
 
         async def main() -> None:
-            async with Script([WHOLE], [WHOLE]) as script:
+            async with ScriptedServer([WHOLE], [WHOLE]) as script:
                 await script.fetch()
                 await script.wait_readable()
                 self.assertEqual(await script.fetch(), b"whole")
@@ -235,15 +237,15 @@
 
         run(main)
 
-    def test_a_close_that_crosses_the_request_is_not_certain(self) -> None:
-        """Symptom: "not run" is said of a request that ran.
+    def test_a_close_during_the_request_is_not_certain(self) -> None:
+        """Guards against a request that is reported as not run although it ran.
 
-        The server reads the second request on the kept connection and closes
-        without a word. It may have run it, so this is never certain.
+        The server reads the second request on the reused connection and closes it
+        without an answer. It may have run the request, so this is never certain.
         """
 
         async def main() -> None:
-            async with Script([WHOLE, b""]) as script:
+            async with ScriptedServer([WHOLE, b""]) as script:
                 await script.fetch()
                 with self.assertRaises(NotSent) as raised:
                     await script.fetch()
@@ -252,40 +254,40 @@
         run(main)
 
     def test_leaving_an_answer_early_closes_its_connection(self) -> None:
-        """Symptom: a target works on for a caller who is gone."""
+        """Guards against a target that continues after its caller has disconnected."""
 
         async def main() -> None:
             part = CHUNKED + b"4\r\npart\r\n"
-            async with Script([part], [WHOLE], silent=True) as script:
+            async with ScriptedServer([part], [WHOLE], keep_open=True) as script:
                 async with script.client.stream(
                     script.address, "GET", "/", {}, b"", 20.0
                 ) as answer:
                     self.assertEqual(await answer.read(), b"part")
-                await script.left.wait()
+                await script.disconnected.wait()
                 self.assertEqual(await script.fetch(), b"whole")
                 self.assertEqual(script.accepted, 2)
 
         run(main)
 
-    def test_nothing_is_sent_where_the_last_check_raises(self) -> None:
-        """Symptom: a host acts on a check that was true before it connected.
+    def test_nothing_is_sent_if_before_send_raises(self) -> None:
+        """Guards against a request that is sent on the basis of an outdated check.
 
-        Connecting takes time, and a process may be stopped in between. The check
-        runs when the connection is there; the server must see no byte.
+        Connecting takes time, and the process may be suspended meanwhile. The check
+        runs on the established connection; the server must not receive a byte.
         """
 
         def check() -> None:
             raise PermissionError("too late")
 
         async def main() -> None:
-            async with Script([b"", WHOLE], [WHOLE]) as script:
+            async with ScriptedServer([b"", WHOLE], [WHOLE]) as script:
                 with self.assertRaises(PermissionError):
                     await script.client.fetch(
                         script.address, "GET", "/", {}, b"", 9.0, before_send=check
                     )
                 self.assertEqual(await script.fetch(), b"whole")
                 self.assertEqual(script.accepted, 2)
-                self.assertEqual(script.asked, 1)
+                self.assertEqual(script.received, 1)
 
         run(main)
 
@@ -294,9 +296,9 @@
             self.assertTrue(issubclass(kind, HttpError))
 
 
-class TestGivenUp(unittest.TestCase):
-    def test_request_that_is_given_up_does_not_arrive_later(self):
-        """Guards against work for a request that lay in buffers as it was given up."""
+class TestCancelled(unittest.TestCase):
+    def test_cancelled_request_does_not_arrive_later(self):
+        """Guards against a cancelled request that is sent from the socket buffers."""
 
         async def main():
             listener = curio.network.tcp_server_socket("127.0.0.1", 0)
--- a/tests/test_http_client_targets.py
+++ b/tests/test_http_client_targets.py
@@ -1,4 +1,4 @@
-"""The client towards targets: full ones, early, late and unframed answers."""
+"""HTTP client and targets: full targets; early, late and unframed answers."""
 
 import socket
 import struct
@@ -14,7 +14,7 @@
     HttpLimits,
     format_address,
 )
-from tests.test_http_client import WHOLE, Script
+from tests.test_http_client import WHOLE, ScriptedServer
 from tests.test_http_server import read_until, run
 
 LIMITS = HttpLimits(max_body=1 << 20)
@@ -28,7 +28,7 @@
 
 
 class RawServer:
-    """Accepts connections and hands each to ``play``."""
+    """Accepts connections and passes each to ``play``."""
 
     def __init__(self, play):
         self._play = play
@@ -61,10 +61,11 @@
 class TestUnframedAnswers(unittest.TestCase):
     @params((False, b"a part"), (True, AnswerCut))
     def test_a_reset_does_not_look_like_the_end(self, reset, expected):
-        """Symptom: a caller gets a part of an answer as if it were all.
-        Sequence: a target answers without a length, and its connection is reset
-        before the answer's end.
-        Cause: a reset and an ordinary end were both passed on as the end."""
+        """Guards against a truncated answer that is relayed as a complete one.
+
+        A target answers without a length, and its connection is reset before the end
+        of the answer; the reset was treated like an ordinary end.
+        """
 
         async def play(sock):
             await read_until(sock, b"\r\n\r\n")
@@ -94,11 +95,12 @@
 class TestFullTargets(unittest.TestCase):
     @params(True, False)
     def test_a_reset_before_the_request_proves_that_it_did_not_run(self, full):
-        """Symptom: requests that may not run twice fail with 502, though they reached
-        no target.
-        Sequence: a full target accepts and resets at once; the request is written
-        before the reset is seen.
-        Cause: after that the reset proves nothing."""
+        """Guards against 502 for non-idempotent requests that reached no target.
+
+        A full target accepts a connection and resets it at once. If the request is
+        written before the reset is noticed, the reset doesn't prove that the request
+        did not run.
+        """
 
         async def play(sock):
             if full:
@@ -122,11 +124,12 @@
 
 
 class TestEarlyAnswers(unittest.TestCase):
-    def test_an_answer_before_the_body_is_read_is_taken(self):
-        """Symptom: a rejected request waits for its deadline.
-        Sequence: a target answers a long request before it has read it, and reads no
-        more.
-        Cause: the answer was looked for only once the whole body was written."""
+    def test_an_answer_before_the_body_is_read_is_accepted(self):
+        """Guards against a rejected request that waits until its deadline.
+
+        A target answers before it has read a long request and then stops reading; the
+        answer was read only after the whole body was written.
+        """
         body = b"x" * (8 << 20)
 
         async def play(sock):
@@ -141,14 +144,14 @@
                     server.address, "POST", "/", {}, body, 5.0, fresh=True
                 )
                 self.assertEqual(found.body, b"whole")
-                self.assertEqual(client._pool._kept, {})
+                self.assertEqual(client._pool._idle, {})
                 await client.close()
 
         run(main)
 
 
 class TestLateAnswers(unittest.TestCase):
-    def ask(self, script, name, **options):
+    def fetch(self, script, name, **options):
         exchange = script.client.stream(
             script.address,
             "GET",
@@ -161,29 +164,31 @@
         )
         return collect(exchange)
 
-    def test_a_second_answer_to_a_former_request_is_read_past(self):
-        """Symptom: a caller gets the answer to another request, or none.
-        Sequence: a target sends a second answer to a request; it arrives where the
-        answer to the next request on that connection is expected.
-        Cause: answers were told apart by their order alone."""
+    def test_a_duplicate_answer_to_an_earlier_request_is_skipped(self):
+        """Guards against a caller that gets the answer to another request, or none.
+
+        A target sends a second answer to a request, which arrives instead of the
+        answer to the next request on that connection; answers were matched with
+        requests by their order alone.
+        """
 
         async def main():
             second = answer("one-again") + answer("two")
-            async with Script([answer("one"), second]) as script:
-                first = await self.ask(script, "one")
+            async with ScriptedServer([answer("one"), second]) as script:
+                first = await self.fetch(script, "one")
                 self.assertEqual(first, b"one")
-                self.assertEqual(await self.ask(script, "two"), b"two")
+                self.assertEqual(await self.fetch(script, "two"), b"two")
                 self.assertEqual(script.accepted, 1)
 
         run(main)
 
     @params((10.0, 1), (0.0, 2))
-    def test_a_connection_that_was_idle_for_long_is_not_used(self, max_idle, accepted):
+    def test_a_connection_idle_for_too_long_is_not_reused(self, max_idle, accepted):
         async def main():
             answers = [answer("one"), answer("one")]
-            async with Script(answers, answers) as script:
+            async with ScriptedServer(answers, answers) as script:
                 for _ in range(2):
-                    await self.ask(script, "one", max_idle=max_idle)
+                    await self.fetch(script, "one", max_idle=max_idle)
                     await curio.sleep(0.02)
                 self.assertEqual(script.accepted, accepted)
 
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The server side: bad input, callers that leave or stall, shutting down."""
+"""HTTP server: invalid input, callers that disconnect or stall, shutdown."""
 
 import socket
 import unittest
@@ -16,7 +16,7 @@
     parse_address,
 )
 
-PATIENCE = 30.0
+MAX_WAIT = 30.0
 SMALL = HttpLimits(
     max_head=2048,
     max_body=1024,
@@ -36,21 +36,21 @@
     )
 
 
-class Site:
-    """A server whose handler is given, and raw callers to it."""
+class ServerFixture:
+    """A server with a given handler, and raw connections to it."""
 
     def __init__(self, handler=None, limits: HttpLimits = SMALL) -> None:
         self.server = HttpServer(handler or echo, limits, kind_of_error)
         self.socks: list[curio.io.Socket] = []
 
-    async def __aenter__(self) -> "Site":
+    async def __aenter__(self) -> "ServerFixture":
         await self.server.start("127.0.0.1:0")
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         for sock in self.socks:
             await sock.close()
-        await self.server.close(PATIENCE)
+        await self.server.close(MAX_WAIT)
 
     async def caller(self, data: bytes = b"", window: int = 0) -> curio.io.Socket:
         sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -61,7 +61,7 @@
         await sock.sendall(data)
         return sock
 
-    async def ask(self, data: bytes) -> bytes:
+    async def exchange(self, data: bytes) -> bytes:
         return await read_all(await self.caller(data))
 
 
@@ -95,16 +95,16 @@
 
 def run(main) -> None:
     async def bounded() -> None:
-        async with curio.timeout_after(PATIENCE):
+        async with curio.timeout_after(MAX_WAIT):
             await main()
 
     curio.run(bounded)
 
 
 class BadInputTest(unittest.TestCase):
-    """Symptom: one caller's bad bytes end the process or hang its connection.
+    """Guards against invalid input that ends the process or hangs a connection.
 
-    Each answer names the fault, and the next caller is served as ever.
+    Each answer names the error, and the next caller is served.
     """
 
     @params(
@@ -138,38 +138,38 @@
         self, data, status, kind
     ) -> None:
         async def main() -> None:
-            async with Site() as site:
-                answer = await site.ask(data)
+            async with ServerFixture() as fixture:
+                answer = await fixture.exchange(data)
                 self.assertTrue(answer.startswith(b"HTTP/1.1 " + status), answer)
                 self.assertTrue(answer.endswith(kind), answer)
                 last = GET.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-                self.assertIn(b"200", await site.ask(last))
+                self.assertIn(b"200", await fixture.exchange(last))
 
         run(main)
 
     def test_connections_beyond_the_limit_get_503_until_one_closes(self) -> None:
         async def main() -> None:
-            async with Site() as site:
-                kept = [await site.caller(GET) for _ in range(3)]
+            async with ServerFixture() as fixture:
+                kept = [await fixture.caller(GET) for _ in range(3)]
                 for sock in kept:
                     await read_until(sock, b"\r\n\r\n")
-                self.assertIn(b"503", await site.ask(GET))
+                self.assertIn(b"503", await fixture.exchange(GET))
                 await kept[0].close()
-                while site.server.connections > 2:
+                while fixture.server.connections > 2:
                     await curio.sleep(0.001)
-                answer = await read_until(await site.caller(GET), b"\r\n\r\n")
+                answer = await read_until(await fixture.caller(GET), b"\r\n\r\n")
                 self.assertIn(b"200", answer)
 
         run(main)
 
-    def test_a_handler_that_fails_gives_500_and_the_server_lives(self) -> None:
+    def test_a_handler_that_fails_gives_500_and_the_server_continues(self) -> None:
         async def broken(exchange: Exchange) -> None:
             raise ValueError("broken on purpose")
 
         async def main() -> None:
-            async with Site(broken) as site:
+            async with ServerFixture(broken) as fixture:
                 for _ in range(2):
-                    answer = await site.ask(GET)
+                    answer = await fixture.exchange(GET)
                     self.assertIn(b"500", answer)
                     self.assertNotIn(b"on purpose", answer)
 
@@ -181,12 +181,12 @@
             parse_address(address)
 
 
-class KeptConnectionTest(unittest.TestCase):
+class KeepAliveTest(unittest.TestCase):
     def test_pipelined_requests_are_answered_in_order(self) -> None:
         async def main() -> None:
-            async with Site() as site:
+            async with ServerFixture() as fixture:
                 last = post(b"3").replace(b"Host", b"Connection: close\r\nHost")
-                answer = await site.ask(post(b"1") + post(b"2") + last)
+                answer = await fixture.exchange(post(b"1") + post(b"2") + last)
                 bodies = [part[:1] for part in answer.split(b"\r\n\r\n")[1:]]
                 self.assertEqual(bodies, [b"1", b"2", b"3"])
 
@@ -197,8 +197,8 @@
             await exchange.respond(204, {"X-Name": "\xe9"})
 
         async def main() -> None:
-            async with Site(handler) as site:
-                sock = await site.caller(GET)
+            async with ServerFixture(handler) as fixture:
+                sock = await fixture.caller(GET)
                 for _ in range(2):
                     answer = await read_until(sock, b"\r\n\r\n")
                     self.assertTrue(answer.startswith(b"HTTP/1.1 204"), answer)
@@ -208,9 +208,9 @@
 
     def test_head_and_continue(self) -> None:
         async def main() -> None:
-            async with Site() as site:
+            async with ServerFixture() as fixture:
                 head = GET.replace(b"GET", b"HEAD")
-                sock = await site.caller(head)
+                sock = await fixture.caller(head)
                 await read_until(sock, b"\r\n\r\n")
                 request = post(b"", length=2)
                 expect = request.replace(b"Host", b"Expect: 100-continue\r\nHost")
@@ -222,46 +222,46 @@
         run(main)
 
 
-class LeavingCallerTest(unittest.TestCase):
-    def test_a_caller_that_leaves_is_noticed_before_the_answer(self) -> None:
-        """Symptom: a target works on for a caller who is gone.
+class DisconnectTest(unittest.TestCase):
+    def test_a_disconnect_is_detected_before_the_answer(self) -> None:
+        """Guards against a target that continues after its caller has disconnected.
 
-        The caller closes while the handler only waits: nothing is written, so
-        no write can fail. The handler sees it by reading ahead.
+        The caller closes the connection while the handler only waits: nothing is
+        written, so no write can fail. The disconnect is detected by reading ahead.
         """
-        left = curio.Event()
+        disconnected = curio.Event()
 
         async def handler(exchange: Exchange) -> None:
             await exchange.wait_disconnect()
-            await left.set()
+            await disconnected.set()
             await exchange.abort()
 
         async def main() -> None:
-            async with Site(handler) as site:
-                sock = await site.caller(GET)
-                while not site.server.connections:
+            async with ServerFixture(handler) as fixture:
+                sock = await fixture.caller(GET)
+                while not fixture.server.connections:
                     await curio.sleep(0.001)
                 await sock.close()
-                await left.wait()
+                await disconnected.wait()
 
         run(main)
 
-    def test_a_request_sent_early_is_served_after_the_watch(self) -> None:
-        """Symptom: a pipelined request gets lost in the watch for leaving."""
+    def test_a_pipelined_request_is_served_after_wait_disconnect(self) -> None:
+        """Guards against a pipelined request that is lost in `wait_disconnect`."""
 
         begun = curio.Event()
 
         async def handler(exchange: Exchange) -> None:
             await begun.set()
             watch = await curio.spawn(exchange.wait_disconnect)
-            while exchange.request.path == "/a" and not exchange._early:
+            while exchange.request.path == "/a" and not exchange._early_bytes:
                 await curio.sleep(0.001)
             await watch.cancel()
             await exchange.respond(200, {}, exchange.request.path.encode())
 
         async def main() -> None:
-            async with Site(handler) as site:
-                sock = await site.caller(GET)
+            async with ServerFixture(handler) as fixture:
+                sock = await fixture.caller(GET)
                 await begun.wait()
                 await sock.sendall(GET.replace(b"/a", b"/b"))
                 answer = await read_until(sock, b"/b")
@@ -269,14 +269,14 @@
 
         run(main)
 
-    def test_a_reader_that_stalls_is_cut(self) -> None:
-        """Symptom: one reader who stops reading holds a target's slot forever.
+    def test_a_reader_that_stalls_is_disconnected(self) -> None:
+        """Guards against a caller that stops reading and occupies a slot forever.
 
-        It reads nothing; the socket's buffers fill; send must give up after
-        write_timeout instead of waiting on.
+        The caller reads nothing and the socket buffers fill up; `send` must raise an
+        error after write_timeout.
         """
         outcome: list[Exception] = []
-        cut = curio.Event()
+        disconnected = curio.Event()
 
         async def handler(exchange: Exchange) -> None:
             await exchange.start_stream(200, {})
@@ -285,25 +285,25 @@
                     await exchange.send(b"x" * 65536)
             except Disconnected as exc:
                 outcome.append(exc)
-                await cut.set()
+                await disconnected.set()
                 raise
 
         async def main() -> None:
-            async with Site(handler) as site:
-                await site.caller(GET, window=4096)
-                await cut.wait()
+            async with ServerFixture(handler) as fixture:
+                await fixture.caller(GET, window=4096)
+                await disconnected.wait()
                 self.assertIn("read nothing", str(outcome[0]))
-                while site.server.connections:
+                while fixture.server.connections:
                     await curio.sleep(0.001)
 
         run(main)
 
     @params((b"HTTP/1.1",), (b"HTTP/1.0",))
-    def test_an_aborted_stream_does_not_look_whole(self, version) -> None:
-        """Symptom: a caller takes a part of an answer for all of it.
+    def test_an_aborted_stream_does_not_look_complete(self, version) -> None:
+        """Guards against a caller that mistakes a truncated answer for a complete one.
 
-        The part ends between two chunks. A client that reads lines takes the end of
-        the connection for the end of the answer, so it must be an error instead.
+        The answer is aborted between two chunks. A client that reads lines treats the
+        end of the connection as the end of the answer, so it must get an error.
         """
 
         async def handler(exchange: Exchange) -> None:
@@ -312,35 +312,35 @@
             await exchange.abort()
 
         async def main() -> None:
-            async with Site(handler) as site:
-                sock = await site.caller(GET.replace(b"HTTP/1.1", version))
+            async with ServerFixture(handler) as fixture:
+                sock = await fixture.caller(GET.replace(b"HTTP/1.1", version))
                 self.assertIn(b"part", await read_until(sock, b"part"))
                 with self.assertRaises(ConnectionResetError):
                     await read_all(sock)
 
         run(main)
 
-    def test_an_abort_before_the_answer_cuts_the_connection(self) -> None:
+    def test_an_abort_before_the_answer_resets_the_connection(self) -> None:
         async def handler(exchange: Exchange) -> None:
             await exchange.abort()
 
         async def main() -> None:
-            async with Site(handler) as site:
+            async with ServerFixture(handler) as fixture:
                 with self.assertRaises(ConnectionResetError):
-                    await read_all(await site.caller(GET))
+                    await read_all(await fixture.caller(GET))
 
         run(main)
 
 
 class ClosingTest(unittest.TestCase):
-    def test_closing_finishes_what_is_in_progress(self) -> None:
-        """Symptom: a graceful shutdown cuts answers.
+    def test_closing_finishes_requests_in_progress(self) -> None:
+        """Guards against a graceful shutdown that truncates answers.
 
-        One caller's stream is half sent, another is connected without having
-        been accepted; a third one's connection is idle. The first two get whole
-        answers, the third is closed, and nobody new gets in.
+        The stream of one caller is half sent, the connection of another isn't accepted
+        yet, and that of a third is idle. The first two get complete answers, the third
+        connection is closed, and new connections are refused.
         """
-        go_on = curio.Event()
+        resume = curio.Event()
         begun = curio.Event()
 
         async def handler(exchange: Exchange) -> None:
@@ -348,26 +348,26 @@
             await exchange.send(b"half")
             if exchange.request.path == "/a":
                 await begun.set()
-                await go_on.wait()
+                await resume.wait()
             await exchange.end()
 
         async def main() -> None:
-            async with Site(handler) as site:
-                address = parse_address(site.server.address)
-                idle = await site.caller(GET.replace(b"/a", b"/b"))
+            async with ServerFixture(handler) as fixture:
+                address = parse_address(fixture.server.address)
+                idle = await fixture.caller(GET.replace(b"/a", b"/b"))
                 await read_until(idle, b"0\r\n\r\n")
-                busy = await site.caller(GET)
+                busy = await fixture.caller(GET)
                 await begun.wait()
-                # As if it had come just after the last accept.
-                await site.server._accepting.cancel()
+                # Simulates a connection that arrives just after the last accept.
+                await fixture.server._accepting.cancel()
                 raw = socket.create_connection(address)
                 raw.sendall(GET.replace(b"/a", b"/b"))
-                closing = await curio.spawn(site.server.close, PATIENCE)
+                closing = await curio.spawn(fixture.server.close, MAX_WAIT)
                 self.assertEqual(await read_all(idle), b"")
                 new = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 with self.assertRaises(ConnectionRefusedError):
                     await new.connect(address)
-                await go_on.set()
+                await resume.set()
                 self.assertTrue((await read_all(busy)).endswith(b"0\r\n\r\n"))
                 await closing.join()
                 self.assertTrue(raw.recv(65536).endswith(b"0\r\n\r\n"))
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -1,14 +1,14 @@
-"""When a host counts as one that doesn't keep up, and when no more."""
+"""When a host counts as lagging, and when it recovers."""
 
 import unittest
 
 from nose2.tools import params
 
-from bronzepoint_common.lag import CALM_FOR, Lag
+from bronzepoint_common.lag import RECOVERY_TIME, Lag
 
 STEP = 0.2
 """Seconds between two delays."""
-CALM = [0.0] * (int(CALM_FOR / STEP) + 10)
+ON_TIME = [0.0] * (int(RECOVERY_TIME / STEP) + 10)
 SLOW = [0.4] * 10
 
 
@@ -17,27 +17,27 @@
     lag = Lag()
     seen = []
     for number, late in enumerate(delays):
-        lag.note(late, number * STEP)
+        lag.record(late, number * STEP)
         seen.append(lag.is_lagging)
     return seen
 
 
 class TestLag(unittest.TestCase):
     @params(
-        (CALM, False),
-        # one pause, as of a collection of garbage
-        ([0.4, *CALM[:3]], False),
+        (ON_TIME, False),
+        # A single pause, for instance of the garbage collector.
+        ([0.4, *ON_TIME[:3]], False),
         (SLOW, True),
-        ([*SLOW, *CALM[:12]], True),
-        ([*SLOW, *CALM], False),
-        # work that was taken away and comes back lets it lag again
-        ([*SLOW, *CALM, *SLOW], True),
+        ([*SLOW, *ON_TIME[:12]], True),
+        ([*SLOW, *ON_TIME], False),
+        # The host recovers and lags again when its load returns.
+        ([*SLOW, *ON_TIME, *SLOW], True),
     )
     def test_state_after_delays(self, delays, expected):
         self.assertIs(states(delays)[-1], expected)
 
     def test_state_does_not_flap(self):
-        """Guards against callers that are sent to and fro with each pause."""
+        """Guards against callers that are moved back and forth with each pause."""
         seen = states(([0.4] * 6 + [0.0] * 6) * 20)
         changes = sum(a is not b for a, b in zip(seen, seen[1:], strict=False))
         self.assertEqual(changes, 1)
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -1,10 +1,10 @@
-"""Lines whose reader stops: nothing waits for it, and what is dropped is counted."""
+"""A log reader that stops: writing doesn't block, and dropped lines are counted."""
 
 import json
 import os
 import unittest
 
-from bronzepoint_common.log_stream import BURST, MOST_BACKLOG, LogBacklogFull, LogStream
+from bronzepoint_common.log_stream import BURST, MAX_BACKLOG, LogBacklogFull, LogStream
 from bronzepoint_common.logs import JsonLinesHandler, get_logger
 from bronzepoint_common.metrics import Metrics
 
@@ -14,7 +14,7 @@
 
 
 class Pipe:
-    """A pipe whose reader stands still until it is asked."""
+    """A pipe that is read only by calls of `read`."""
 
     def __enter__(self):
         self.read_end, self.write_end = os.pipe()
@@ -25,7 +25,7 @@
         os.close(self.write_end)
 
     def read(self, size=1 << 20):
-        """Return what lies in the pipe."""
+        """Return the data in the pipe, without blocking."""
         os.set_blocking(self.read_end, False)
         try:
             return os.read(self.read_end, size)
@@ -33,18 +33,18 @@
             return b""
 
 
-def fill(stream, most):
-    """Write lines until one isn't taken; return how many were."""
-    for number in range(most):
+def fill(stream, max_lines):
+    """Write lines until one is rejected; return how many were accepted."""
+    for number in range(max_lines):
         try:
             stream.write(LINE)
         except LogBacklogFull:
             return number
-    return most
+    return max_lines
 
 
-def read_on(pipe, stream):
-    """Return all that still comes through, as the reader goes on."""
+def read_rest(pipe, stream):
+    """Return all buffered data, as read by a reader that resumes."""
     found = b""
     while piece := pipe.read():
         found += piece
@@ -53,17 +53,17 @@
 
 
 class TestReaderThatStops(unittest.TestCase):
-    def test_lines_are_kept_up_to_a_bound_and_come_in_order(self):
-        """Guards against a host that stops where nobody reads its log."""
+    def test_lines_are_buffered_up_to_a_limit_and_in_order(self):
+        """Guards against a host that blocks because its log isn't read."""
         with Pipe() as pipe:
             stream = LogStream(pipe.write_end)
-            taken = fill(stream, 2 * MOST_BACKLOG // len(LINE))
-            found = read_on(pipe, stream)
-        self.assertGreaterEqual(taken * len(LINE), MOST_BACKLOG - len(LINE))
-        self.assertLess(taken, 2 * MOST_BACKLOG // len(LINE))
-        self.assertEqual(found.decode(), LINE * taken)
+            accepted = fill(stream, 2 * MAX_BACKLOG // len(LINE))
+            found = read_rest(pipe, stream)
+        self.assertGreaterEqual(accepted * len(LINE), MAX_BACKLOG - len(LINE))
+        self.assertLess(accepted, 2 * MAX_BACKLOG // len(LINE))
+        self.assertEqual(found.decode(), LINE * accepted)
 
-    def test_what_is_dropped_is_counted(self):
+    def test_dropped_lines_are_counted(self):
         metrics = Metrics()
         with Pipe() as pipe:
             stream = LogStream(pipe.write_end)
@@ -72,32 +72,32 @@
                 fill(stream, BURST)
                 for number in range(5):
                     log.info("lost", text=LINE, number=number)
-                read_on(pipe, stream)
+                read_rest(pipe, stream)
                 log.info("kept")
                 handler.flush()
             (line,) = pipe.read().splitlines()
         self.assertEqual(json.loads(line)["lost_lines"], 5)
         self.assertEqual(metrics.counters()["log.lost_lines"], 5)
 
-    def test_reader_that_is_gone_ends_nothing(self):
+    def test_write_to_a_closed_pipe_is_counted_and_raises_nothing(self):
         read_end, write_end = os.pipe()
         os.close(read_end)
         metrics = Metrics()
         handler = JsonLinesHandler(LogStream(write_end), "info", "h", metrics)
         with handler.applicationbound():
-            log.info("nobody hears")
+            log.info("not read")
             handler.flush()
         os.close(write_end)
         self.assertEqual(metrics.counters()["log.lost_lines"], 1)
 
 
 class TestVolume(unittest.TestCase):
-    def test_lines_that_come_too_fast_are_dropped(self):
+    def test_lines_beyond_the_rate_limit_are_dropped(self):
         with open(os.devnull, "wb") as sink:
             stream = LogStream(sink.fileno())
             stream._refill = lambda: None
-            taken = fill(stream, 2 * BURST // len(LINE))
-        self.assertEqual(taken, BURST // len(LINE))
+            accepted = fill(stream, 2 * BURST // len(LINE))
+        self.assertEqual(accepted, BURST // len(LINE))
 
 
 if __name__ == "__main__":
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON objects, whatever is logged and whatever the disk does."""
+"""Log lines are valid JSON objects, for any message and with a full disk."""
 
 import io
 import json
@@ -21,7 +21,7 @@
 
 
 class FullDisk(io.StringIO):
-    """A stream that refuses its first lines, as a full disk does."""
+    """A stream that rejects its first lines, as a full disk does."""
 
     refusals = 2
 
@@ -75,11 +75,11 @@
         lines = self.read(lambda: (log.info("no"), log.error("yes")), "warning")
         self.assertEqual([line["message"] for line in lines], ["yes"])
 
-    def test_full_disk_loses_lines_and_says_how_many(self):
-        """Symptom: every request fails while the log's disk is full.
+    def test_lines_lost_by_a_full_disk_are_counted(self):
+        """Guards against requests that fail while the disk of the log is full.
 
-        Sequence: the disk fills up, a request logs, the write raises.
-        Cause: the error would end the task that serves the request.
+        The write of a log line raises, and the error ends the task that serves the
+        request.
         """
 
         def act():
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -1,4 +1,4 @@
-"""An event loop that stands still shows in the log and in the metrics."""
+"""A blocked event loop is reported in the log and in the metrics."""
 
 import time
 import unittest
@@ -7,25 +7,25 @@
 import logbook
 from nose2.tools import params
 
-from bronzepoint_common.loop_watch import INTERVAL, LATE, LoopWatch
+from bronzepoint_common.loop_watch import INTERVAL, MIN_LOGGED_DELAY, LoopWatch
 from bronzepoint_common.metrics import Metrics
 
-HELD_UP = 2 * (INTERVAL + LATE)
-"""Seconds for which the loop gets no turn."""
+BLOCK_TIME = 2 * (INTERVAL + MIN_LOGGED_DELAY)
+"""Seconds for which the event loop is blocked."""
 
 
-def sleep_on():
-    time.sleep(HELD_UP)
+def block_asleep():
+    time.sleep(BLOCK_TIME)
 
 
-def compute_on():
-    end = time.process_time() + HELD_UP
+def block_busy():
+    end = time.process_time() + BLOCK_TIME
     while time.process_time() < end:
         pass
 
 
 def watch(block):
-    """Return the lines and the longest delay of a loop that is blocked once."""
+    """Block a loop once; return its log lines and its maximum delay in ms."""
 
     async def main():
         metrics = Metrics()
@@ -44,12 +44,12 @@
 
 
 class TestLoopWatch(unittest.TestCase):
-    @params((sleep_on, False), (compute_on, True))
-    def test_line_tells_whether_the_process_itself_was_busy(self, block, busy):
+    @params((block_asleep, False), (block_busy, True))
+    def test_line_shows_whether_the_process_itself_was_busy(self, block, busy):
         (line,), longest = watch(block)
-        self.assertGreaterEqual(longest, LATE * 1000)
-        self.assertGreaterEqual(line["seconds"], LATE)
-        self.assertEqual(line["cpu_seconds"] >= HELD_UP, busy)
+        self.assertGreaterEqual(longest, MIN_LOGGED_DELAY * 1000)
+        self.assertGreaterEqual(line["seconds"], MIN_LOGGED_DELAY)
+        self.assertEqual(line["cpu_seconds"] >= BLOCK_TIME, busy)
 
 
 if __name__ == "__main__":
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,15 +1,15 @@
-"""Counters are kept here and reach statsd as sums, in few packets."""
+"""Counters are aggregated in memory and sent to statsd as sums, in few packets."""
 
 import socket
 import unittest
 
 import curio
 
-from bronzepoint_common.metrics import LONGEST_MS, Metrics
+from bronzepoint_common.metrics import MAX_TIMING_MS, Metrics
 from bronzepoint_schema.generated.settings import MetricsSection
 
 WAIT = 30
-"""Seconds until a packet that doesn't come counts as lost."""
+"""Seconds after which a packet that hasn't arrived counts as lost."""
 
 
 class MetricsTest(unittest.TestCase):
@@ -64,7 +64,9 @@
         found = metrics.percentiles()
         self.assertAlmostEqual(found["wait.p50"], 51, delta=1)
         self.assertAlmostEqual(found["wait.p99"], 100, delta=1)
-        self.assertAlmostEqual(found["wait.max"], LONGEST_MS, delta=LONGEST_MS / 100)
+        self.assertAlmostEqual(
+            found["wait.max"], MAX_TIMING_MS, delta=MAX_TIMING_MS / 100
+        )
 
     def test_without_server_everything_is_counted(self):
         async def run():
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The page for the engineer on call names what the code can say."""
+"""The operations page documents all reasons and log lines of the code."""
 
 import re
 import unittest
@@ -15,7 +15,7 @@
 
 
 def reasons():
-    """Return the reasons that the relay gives for tries that brought no answer."""
+    """Return the reasons that the relay records for tries without an answer."""
     found = set()
     for path in (SOURCES / "relay").glob("*.py"):
         found.update(REASON.findall(path.read_text()))
@@ -24,16 +24,16 @@
 
 class TestPage(unittest.TestCase):
     @params(*RejectReason)
-    def test_each_refusal_is_named(self, reason):
+    def test_each_refusal_is_documented(self, reason):
         self.assertIn(f"`refused_{reason}`", PAGE)
 
-    def test_each_end_of_a_try_is_named(self):
+    def test_each_failure_of_a_try_is_documented(self):
         self.assertGreater(len(reasons()), 8)
         missing = [r for r in reasons() if f"`{r}" not in PAGE]
         self.assertEqual(missing, [])
 
     @params("core", "fleet", "placement", "quarantine", "quota", "relay")
-    def test_each_belief_is_named(self, package):
+    def test_each_log_line_is_documented(self, package):
         lines = set()
         for path in (SOURCES / package).glob("*.py"):
             text = path.read_text()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -27,10 +27,10 @@
 KEY = b"k" * 32
 A = HostName("a")
 B = HostName("b")
-PATIENCE = 30.0
+MAX_WAIT = 30.0
 PEERS = 79
 CONTROL_MEMORY = 64e6
-"""Bytes that a host may use for control."""
+"""Bytes of memory that a host may use for control messages."""
 
 
 class Ping(msgspec.Struct, tag="ping"):
@@ -73,11 +73,11 @@
             decode_frame(frame, KEY, B)
         self.assertEqual(caught.exception.reason, "mac")
 
-    def test_rejects_a_frame_meant_for_another_host(self):
-        """Symptom: a host acts on a message that another host was sent.
+    def test_rejects_a_frame_for_another_host(self):
+        """Guards against a host that acts on a message to another host.
 
-        Sequence: a frame from A to B is recorded on the wire and sent to C.
-        Cause: without the receiver under the MAC, every host accepts it.
+        A frame from A to B is recorded on the network and sent to C. If the MAC
+        didn't cover the receiver, each host would accept it.
         """
         frame = encode_frame(envelope(), KEY)
         with self.assertRaises(FrameRejected) as caught:
@@ -86,7 +86,7 @@
 
 
 async def run_pair(use):
-    """Start two hosts that know each other and hand them to ``use``."""
+    """Start two hosts that know each other and pass them to ``use``."""
     addresses = {A: free_address(), B: free_address()}
     hosts = [Peers(name, addresses[name], KEY, Metrics()) for name in (A, B)]
     for host in hosts:
@@ -108,35 +108,35 @@
         async def use(a, b):
             for host in (a, b):
                 host.register(Area.AGREEMENT, Ping | Pong, answer)
-            reply = await a.call(B, Area.AGREEMENT, Ping("hello"), PATIENCE)
+            reply = await a.call(B, Area.AGREEMENT, Ping("hello"), MAX_WAIT)
             self.assertEqual(reply, Pong("a:hello"))
 
         curio.run(run_pair, use)
 
     def test_messages_of_one_peer_keep_their_order(self):
-        got = []
+        received = []
         count = 100
 
-        async def take(sender, message):
-            got.append(message.number)
+        async def receive(sender, message):
+            received.append(message.number)
 
         async def use(a, b):
-            b.register(Area.MEMBERSHIP, Burst, take)
+            b.register(Area.MEMBERSHIP, Burst, receive)
             for number in range(count):
                 while not a.post(B, Area.MEMBERSHIP, Burst(number)):
                     await curio.sleep(0.01)
-            async with curio.timeout_after(PATIENCE):
-                while len(got) < count:
+            async with curio.timeout_after(MAX_WAIT):
+                while len(received) < count:
                     await curio.sleep(0.01)
-            self.assertEqual(got, list(range(count)))
+            self.assertEqual(received, list(range(count)))
 
         curio.run(run_pair, use)
 
     def test_a_failing_handler_is_reported_and_later_calls_are_answered(self):
-        """Symptom: a host looks alive and never answers one peer again.
+        """Guards against a host that seems to be live but never answers one peer again.
 
-        Sequence: a message makes the handler raise; the next message is fine.
-        Cause: the error ends the task that serves this peer.
+        A message makes the handler raise, and the error ends the task that serves this
+        peer.
         """
 
         async def answer(sender, message):
@@ -148,8 +148,8 @@
             for host in (a, b):
                 host.register(Area.AGREEMENT, Ping | Pong, answer)
             with self.assertRaises(PeerFailed):
-                await a.call(B, Area.AGREEMENT, Ping("bad"), PATIENCE)
-            reply = await a.call(B, Area.AGREEMENT, Ping("good"), PATIENCE)
+                await a.call(B, Area.AGREEMENT, Ping("bad"), MAX_WAIT)
+            reply = await a.call(B, Area.AGREEMENT, Ping("good"), MAX_WAIT)
             self.assertEqual(reply, Pong("good"))
 
         curio.run(run_pair, use)
@@ -158,11 +158,11 @@
         async def use(a, b):
             self.assertFalse(a.post(HostName("c"), Area.AGREEMENT, Ping("x")))
             with self.assertRaises(PeerUnknown):
-                await a.call(HostName("c"), Area.AGREEMENT, Ping("x"), PATIENCE)
+                await a.call(HostName("c"), Area.AGREEMENT, Ping("x"), MAX_WAIT)
 
         curio.run(run_pair, use)
 
-    def test_a_call_that_nobody_answers_times_out(self):
+    def test_a_call_without_a_reply_times_out(self):
         async def ignore(sender, message):
             return None
 
@@ -175,12 +175,15 @@
         curio.run(run_pair, use)
 
     def test_late_answers_are_counted_with_their_bytes(self):
-        """An answer whose question was given up takes up the link for nothing, and
-        nothing told of its size or of how late it came."""
-        asked = curio.Event()
+        """Guards against late answers that use bandwidth without being reported.
+
+        The answer to an abandoned call uses the link for nothing; its size and delay
+        were neither logged nor counted.
+        """
+        timed_out = curio.Event()
 
         async def answer(sender, message):
-            await asked.wait()
+            await timed_out.wait()
             return Pong("x" * 1000)
 
         async def use(a, b):
@@ -189,8 +192,8 @@
             with self.assertRaises(PeerTimeout):
                 await a.call(B, Area.AGREEMENT, Ping("x"), 0.05)
             with LogCapture() as lines:
-                await asked.set()
-                async with curio.timeout_after(PATIENCE):
+                await timed_out.set()
+                async with curio.timeout_after(MAX_WAIT):
                     while not a._metrics.counters().get("peers.late_reply"):
                         await curio.sleep(0.01)
             counters = a._metrics.counters()
@@ -204,10 +207,10 @@
         curio.run(run_pair, use)
 
     def test_an_address_of_the_settings_is_not_replaced(self):
-        """Symptom: messages to a peer go past the address that the operator gave.
+        """Guards against messages that aren't sent to the configured address of a peer.
 
-        Sequence: the settings name an address; gossip then names another one.
-        Cause: the later address replaces the former.
+        The settings contain an address and gossip then reports another one, which
+        replaces it.
         """
         host = Peers(A, free_address(), KEY, Metrics())
         host.set_address(B, "127.0.0.1:1", fixed=True)
@@ -216,12 +219,14 @@
 
 
 class TestOutbox(unittest.TestCase):
-    def test_what_waits_for_slow_peers_is_bounded_in_bytes(self):
-        """After a loss of power three hosts of the core grew by 40 MB a second, to
-        296 MB, and were killed, again and again: 70 starting hosts asked each of them
-        for the catalogue several times a second, over links that carried one answer of
-        300 KB in half a second. 128 frames were kept for each peer, whatever their
-        size."""
+    def test_queues_of_slow_peers_are_bounded_in_bytes(self):
+        """Guards against hosts of the core that run out of memory after a power loss.
+
+        70 starting hosts requested the catalogue from each of three hosts several times
+        a second, over links that needed half a second for one answer of 300 KB. With
+        128 frames queued for each peer, whatever their size, the three hosts grew by
+        40 MB a second to 296 MB and were killed repeatedly.
+        """
         boxes = [Outbox("127.0.0.1:1", lambda _: None) for _ in range(PEERS)]
         frame = bytes(300_000)
         for box in boxes:
@@ -230,21 +235,23 @@
         self.assertLess(sum(box.waiting_bytes for box in boxes), CONTROL_MEMORY)
         self.assertTrue(all(box.waiting_bytes >= len(frame) for box in boxes))
 
-    def test_first_connections_are_given_up_soon(self):
-        """Symptom: after a loss of all power the core elects a leader a second late.
-        Sequence: all hosts start together; an opening packet reaches a host that has no
-        power yet and is dropped; the kernel sends it again after a second.
-        Cause: the connection was waited for as long as on a calm day."""
-        waited = []
+    def test_first_attempts_to_connect_have_short_timeouts(self):
+        """Guards against an election that is delayed by a second after a power loss.
+
+        All hosts start together. A SYN packet to a host that is still booting is
+        dropped, and the kernel resends it only after a second; with the normal timeout,
+        the connection waits for that.
+        """
+        timeouts = []
 
         async def connect(address, timeout):
-            waited.append(timeout)
+            timeouts.append(timeout)
 
         async def main():
             outbox = Outbox("127.0.0.1:1", lambda box: None)
             outbox.send(b"x")
-            await outbox.attend()
-            while len(waited) < 5:
+            await outbox.resume()
+            while len(timeouts) < 5:
                 await curio.sleep(0.01)
             await outbox.cancel()
 
@@ -253,4 +260,4 @@
             mock.patch.object(_outbox, "_RETRY_MAX", 0.01),
         ):
             curio.run(main)
-        self.assertEqual(waited[:5], [0.4, 0.8, 1.6, 2.0, 2.0])
+        self.assertEqual(timeouts[:5], [0.4, 0.8, 1.6, 2.0, 2.0])
--- a/tests/test_peers_links.py
+++ b/tests/test_peers_links.py
@@ -1,4 +1,4 @@
-"""Links between hosts that are reset all the time."""
+"""Links between hosts whose connections are reset continuously."""
 
 import itertools
 import os
@@ -22,15 +22,16 @@
 HOSTS = ("a", "b", "c", "d")
 RESETS = 4000
 LIFETIME = (0.001, 0.02)
-PATIENCE = 90.0
-RESET_PATIENCE = 150.0
-"""Seconds until the resets are given up: a guard against a hang, no bound on speed.
-They take 20 s on an idle machine and 75 to 95 s beside a load of 27 on eight cores."""
+MAX_WAIT = 90.0
+MAX_RESET_WAIT = 150.0
+"""Maximum seconds to wait for the resets: a guard against a hang, not a limit on speed.
+They take 20 s on an idle machine and 75 to 95 s with a load average of 27 on eight
+cores."""
 RESET = struct.pack("ii", 1, 0)
 
 
 class FlakyLink:
-    """Carries connections and resets each after a short random while."""
+    """Forwards connections and resets each after a short random time."""
 
     def __init__(self, target, rng):
         self.target = target
@@ -77,7 +78,7 @@
             (far if source is near else near).sendall(data)
 
     def close(self):
-        """Take no more connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
 
@@ -116,13 +117,13 @@
         return child
 
     def test_hosts_survive_resets_and_reach_each_other_afterwards(self):
-        """A daemon dies without a word while a region is being cut off.
+        """Guards against a daemon that crashes while a region is being partitioned.
 
-        Sequence: connections to other hosts are reset while frames are being sent
-        over them, again and again. Cause, with nng's push sockets: a connection whose
-        send ended while it was being closed went back into the list of those that can
-        take a frame, and the next send read freed memory. With its publishing sockets
-        the process lived on, but some links never carried anything again.
+        Connections to other hosts are reset repeatedly while frames are sent over them.
+        With nng's push sockets, a connection whose send ended while it was being closed
+        returned to the list of writable connections, and the next send read freed
+        memory. With its publishing sockets the process survived, but some links never
+        transferred anything again.
         """
         child = self.start()
 
@@ -130,12 +131,12 @@
             self.assertIsNone(child.poll(), "the process has died")
             return sum(link.resets for link in self.links.values()) >= RESETS
 
-        wait_until(enough_resets, f"{RESETS} resets", RESET_PATIENCE)
+        wait_until(enough_resets, f"{RESETS} resets", MAX_RESET_WAIT)
         for link in self.links.values():
             link.steady.set()
         child.stdin.write("steady\n")
         child.stdin.flush()
-        answered = threading.Timer(PATIENCE, child.kill)
+        answered = threading.Timer(MAX_WAIT, child.kill)
         answered.start()
         self.addCleanup(answered.cancel)
         lines = child.stdout.read().split("\n")
--- a/tests/test_settings_daemon.py
+++ b/tests/test_settings_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon that can't start says why in a line, and ends with a status of its own."""
+"""A daemon that can't start prints the reason in one line and exits with an error."""
 
 import socket
 import subprocess
@@ -10,8 +10,8 @@
 from bronzepoint_common.storage import RecordLog
 from tests.test_settings_faults import GOOD
 
-PATIENCE = 30
-"""Seconds until a daemon that neither starts nor ends counts as hung."""
+MAX_WAIT = 30
+"""Seconds after which a daemon that hasn't exited counts as hung."""
 
 
 class BadStart(unittest.TestCase):
@@ -21,7 +21,7 @@
         self.folder = Path(folder.name)
 
     def listen(self) -> str:
-        """Return an address that somebody else listens on."""
+        """Return an address that is in use."""
         sock = socket.socket()
         self.addCleanup(sock.close)
         sock.bind(("127.0.0.1", 0))
@@ -29,14 +29,14 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
     def start(self, text: str) -> tuple[int, list[str]]:
-        """Run a daemon that must end by itself; return status and error lines."""
+        """Run a daemon that must exit; return its status and its error lines."""
         path = self.folder / "host.ini"
         path.write_text(text)
         done = subprocess.run(
             [sys.executable, "-m", "bronzepoint_node", str(path)],
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=MAX_WAIT,
         )
         lines = done.stderr.splitlines()
         return done.returncode, [line for line in lines if not line.startswith("{")]
@@ -74,10 +74,10 @@
         self.assertIn(str(self.folder / "data"), lines[0])
 
     def test_damaged_log(self):
-        """Symptom: a voter votes as if it had never voted before.
+        """Guards against a voter that votes as if it had never voted before.
 
-        Sequence: a byte of its log rots, the host restarts.
-        Cause: it goes on without what it can't read, in place of saying so.
+        A byte of its log is corrupted and the host restarts; it continues without the
+        unreadable records instead of reporting an error.
         """
         log = RecordLog(self.folder / "data", "agreement")
         log.open()
--- a/tests/test_settings_faults.py
+++ b/tests/test_settings_faults.py
@@ -1,4 +1,4 @@
-"""Faulty settings files: each fault names file, section, key and remedy."""
+"""Invalid settings files: each fault names file, section, key and remedy."""
 
 import unittest
 from pathlib import Path
@@ -43,12 +43,19 @@
 token = ann-token-1
 """
 
-# What is replaced in the good file, by what; then section, key, problem and remedy of
-# the one fault that must be reported.
+# Text to replace in the valid file and its replacement; then section, key, problem and
+# remedy of the only fault that must be reported.
 FAULTS = (
     ("name = bkk-1", "", "host", "name", "is missing", "add 'name"),
     ("name = bkk-1", "name = b k", "host", "name", "can't be a name", "letters"),
-    ("name = bkk-1", "name = bkk-1\nnme = x", "host", "nme", "is no key", "'name'"),
+    (
+        "name = bkk-1",
+        "name = bkk-1\nnme = x",
+        "host",
+        "nme",
+        "is not a known key",
+        "'name'",
+    ),
     ("name = bkk-1", "name = bkk-1\nname = x", "host", "name", "twice", "keep one"),
     ("name = bkk-1", "name = bkk-1\nvoter = yes", "host", "voter", "yes", "true or"),
     (
@@ -61,10 +68,24 @@
     ),
     ("name = bkk-1", "name = bkk-1\n???", "", "", "at line", "key = value"),
     ("[host]\n", "", "", "", "before any section", "[host]"),
-    ("[caller", "[agrement]\n[caller", "agrement", "", "no section", "'agreement'"),
+    (
+        "[caller",
+        "[agrement]\n[caller",
+        "agrement",
+        "",
+        "not a known section",
+        "'agreement'",
+    ),
     ("[listen]", "[host]", "host", "", "twice", "merge"),
-    ("[peer sgp-1]", "[DEFAULT]\na = b\n[peer sgp-1]", "DEFAULT", "", "no sec", ""),
-    ("127.0.0.1:8001", "localhost:8001", "listen", "http", "IP number", "IP number"),
+    (
+        "[peer sgp-1]",
+        "[DEFAULT]\na = b\n[peer sgp-1]",
+        "DEFAULT",
+        "",
+        "not a known section",
+        "",
+    ),
+    ("127.0.0.1:8001", "localhost:8001", "listen", "http", "IP number", "IP address"),
     ("127.0.0.1:8001", "127.0.0.1", "listen", "http", "no port", "port"),
     ("127.0.0.1:8001", "127.0.0.1:70000", "listen", "http", "not a port", "port"),
     ("127.0.0.1:8001", "0.0.0.0:8001", "listen", "http", "names no host", "reach"),
@@ -156,7 +177,10 @@
     def test_misspelt_section_is_unknown_and_missing(self):
         faults = read_faults(GOOD.replace("[listen]", "[lsten]"))
         found = [(fault.section, fault.problem) for fault in faults]
-        expected = [("lsten", "is no section"), ("listen", "the section is missing")]
+        expected = [
+            ("lsten", "is not a known section"),
+            ("listen", "the section is missing"),
+        ]
         self.assertEqual(found, expected)
 
     def test_secrets_stay_out_of_errors(self):
--- a/tests/test_storage_files.py
+++ b/tests/test_storage_files.py
@@ -1,4 +1,4 @@
-"""Append log and snapshot: what a crash or a bad disk may leave."""
+"""Append-only log and snapshot after crashes and disk errors."""
 
 import os
 import tempfile
@@ -42,7 +42,7 @@
         self.write([b"a", b"b"], [], [b"c"])
         self.assertEqual(self.open()[1], [b"a", b"b", b"c"])
 
-    def test_rewrite_replaces_all_and_appends_go_on(self):
+    def test_rewrite_replaces_all_and_appends_continue(self):
         log, _ = self.open()
         log.append([b"old"] * 50)
         log.rewrite([b"new"])
@@ -52,7 +52,7 @@
 
     @params(1, 12, 23, 24, 27)
     def test_torn_last_write_is_dropped_whole(self, kept):
-        """A power loss during the second append leaves a part of its frame."""
+        """A power loss during the second append leaves an incomplete frame."""
         path = self.write([b"first"])
         sound = path.stat().st_size
         self.write([b"second", b"third"])
@@ -64,7 +64,7 @@
         self.assertEqual(self.open()[1], [b"first", b"again"])
 
     def test_zeroed_tail_is_dropped(self):
-        """The file was extended on disk but its last pages never arrived."""
+        """The file was extended on disk, but its last pages were never written."""
         path = self.write([b"first"])
         with open(path, "ab") as file:
             file.write(bytes(4096))
@@ -72,9 +72,9 @@
 
     @params(0, 4, 8, 16, 30)
     def test_damage_in_the_middle_is_an_error(self, offset):
-        """A flipped bit in an acknowledged record must not shorten the log.
+        """A flipped bit in an acknowledged record must not truncate the log.
 
-        Cutting the log there would make a voter forget entries it had promised.
+        Otherwise a voter would lose entries that it has acknowledged.
         """
         path = self.write([b"first"], [b"second"])
         content = bytearray(path.read_bytes())
@@ -98,7 +98,7 @@
             RecordLog(self.folder, "log").open()
 
     def test_failed_sync_stops_the_log(self):
-        """A retry after a failed sync may succeed although the data is gone."""
+        """A retry after a failed sync may succeed although the data is lost."""
         log, _ = self.open()
         with mock.patch("os.fdatasync", side_effect=OSError(5, "I/O error")):
             with self.assertRaises(StorageFailed):
@@ -116,7 +116,7 @@
         self.assertEqual(self.open()[1], [b"old"])
 
     def test_folder_is_synced_after_create_and_rename(self):
-        """A name that isn't synced is lost with the power, and the file with it."""
+        """Without syncing the folder, a power loss can remove the new file."""
         synced = []
         real = os.fsync
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Telling many things by turns."""
+"""Selecting a few of many items, round robin."""
 
 import unittest
 
@@ -17,12 +17,12 @@
         ("abc", 1, 0, ""),
         ("", 4, 2, ""),
     )
-    def test_items_from_a_place_on(self, items, start, most, expected):
-        self.assertEqual("".join(take_turn(items, start, most)), expected)
+    def test_items_from_a_position(self, items, start, max_items, expected):
+        self.assertEqual("".join(take_turn(items, start, max_items)), expected)
 
-    def test_all_have_their_turn(self):
-        told = [item for turn in range(5) for item in take_turn(range(9), 2 * turn, 2)]
-        self.assertEqual(set(told), set(range(9)))
+    def test_successive_slices_cover_all_items(self):
+        seen = [item for turn in range(5) for item in take_turn(range(9), 2 * turn, 2)]
+        self.assertEqual(set(seen), set(range(9)))
 
 
 if __name__ == "__main__":
