--- a/packages/emulator/src/bronzepoint_emulator/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, the deployment harness and the experiment tool."""
+"""Stubs of the platform, the deployment harness and the experiment tool."""
--- a/packages/emulator/src/bronzepoint_emulator/_faults.py
+++ b/packages/emulator/src/bronzepoint_emulator/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a stand-in target, changed while it runs."""
+"""Faults of a stub target, changed while it runs."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def merge_faults(faults: TargetFaults, body: bytes) -> TargetFaults:
-    """Return the faults with the keys of a JSON body put over them.
+    """Return the faults, updated with the keys of a JSON body.
 
     Raises:
         msgspec.ValidationError: A key's value has the wrong type.
--- a/packages/emulator/src/bronzepoint_emulator/_serving.py
+++ b/packages/emulator/src/bronzepoint_emulator/_serving.py
@@ -1,4 +1,4 @@
-"""What every stand-in's command shares: limits, and a run until a signal comes."""
+"""HTTP limits and main loop shared by the stubs' commands."""
 
 from typing import Protocol
 
@@ -8,21 +8,22 @@
 from bronzepoint_common.signals import SignalWaiter
 
 IDLE_TIMEOUT = 300.0
+"""Seconds after which an idle connection is closed, by default."""
 JSON_HEADERS = {"content-type": "application/json"}
 
 
 class Service(Protocol):
-    """Something with an explicit start and close."""
+    """A server that is started and closed explicitly."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop serving."""
 
 
-def stand_in_limits(idle_timeout: float = IDLE_TIMEOUT) -> HttpLimits:
-    """Return generous limits: a stand-in is never what a test probes for abuse."""
+def stub_limits(idle_timeout: float = IDLE_TIMEOUT) -> HttpLimits:
+    """Return generous HTTP limits: no test attacks a stub."""
     return HttpLimits(
         max_head=65536,
         max_body=16 * 1024 * 1024,
@@ -34,7 +35,7 @@
 
 
 def serve(service: Service) -> None:
-    """Run a stand-in until SIGINT or SIGTERM."""
+    """Run a stub until SIGINT or SIGTERM."""
     curio.run(_serve_until_signal, service)
 
 
--- a/packages/emulator/src/bronzepoint_emulator/engine/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine."""
+"""Stub of a model engine."""
 
 from bronzepoint_emulator.engine._batch import Batch
 from bronzepoint_emulator.engine._cache import PrefixCache
--- a/packages/emulator/src/bronzepoint_emulator/engine/_batch.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_batch.py
@@ -12,22 +12,22 @@
 from bronzepoint_emulator.engine._load import LoadHistory
 from bronzepoint_schema.generated.emulator import EngineSpec, RunCounts
 
-# Prompt tokens worked on in one step, so that a long prompt slows the others' tokens
-# but doesn't stop them.
+# Maximum prompt tokens processed per step. Chunking lets a long prompt slow down the
+# token generation of other requests without stopping it.
 PROMPT_CHUNK = 128
 
 
 class Batch:
-    """Works on requests step by step.
+    """Simulates the steps of an engine that batches requests.
 
-    A step takes longer the more requests it holds and the more uncached prompt tokens
-    it has to read. Waiting requests join by priority, then by arrival.
+    The duration of a step grows with the number of running requests and of uncached
+    prompt tokens to process. Waiting requests join by priority, then by arrival.
 
     Args:
-        spec: Times and sizes.
-        cache: Prefix cache that saves prompt work.
-        load: Told of each change of the load.
-        counts: Where runs are counted.
+        spec: Durations (s) and sizes.
+        cache: Prefix cache; cached prompt tokens need no processing.
+        load: Records each change of the load.
+        counts: Counters that are updated.
     """
 
     def __init__(
@@ -47,32 +47,32 @@
         self._waiting: list[tuple[int, int, Job]] = []
         self._running: list[Job] = []
         self._arrivals = itertools.count()
-        self._work = curio.Event()
+        self._work_available = curio.Event()
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to work."""
+        """Start processing."""
         self._task = await curio.spawn(self._run, daemon=True)
 
     async def close(self) -> None:
-        """Stop working."""
+        """Stop processing."""
         if self._task is not None:
             await self._task.cancel()
 
     @property
-    def has_room(self) -> bool:
-        """Whether one more request may wait."""
+    def has_capacity(self) -> bool:
+        """Whether one more request can run or be queued."""
         waiting = sum(1 for *_, job in self._waiting if job.state is JobState.waiting)
         return len(self._running) < self.slots or waiting < self._spec.queue
 
     async def submit(self, job: Job) -> None:
         """Queue a request."""
         heapq.heappush(self._waiting, (-job.priority, next(self._arrivals), job))
-        self.note_load()
-        await self._work.set()
+        self.record_load()
+        await self._work_available.set()
 
     async def cancel(self, job: Job) -> None:
-        """Give a request up; it leaves the batch before the next step."""
+        """Cancel a request; it leaves the batch before the next step."""
         if job.state in (JobState.done, JobState.cancelled):
             return
         job.state = JobState.cancelled
@@ -80,13 +80,13 @@
         await job.tokens.put(None)
 
     def find(self, request_id: str) -> Job | None:
-        """Return the request of that id, where it waits or runs."""
+        """Return the waiting or running request with this id, if any."""
         jobs = [job for *_, job in self._waiting] + self._running
         return next((job for job in jobs if job.request_id == request_id), None)
 
-    def note_load(self) -> None:
-        """Tell the load history how it stands."""
-        self._load.note(
+    def record_load(self) -> None:
+        """Record the current load in the load history."""
+        self._load.record(
             len(self._running), len(self._waiting), self.slots, leaving=self.leaving
         )
 
@@ -95,32 +95,32 @@
             self._drop_cancelled()
             self._admit()
             if not self._running:
-                self._work.clear()
-                await self._work.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
                 continue
             await curio.sleep(self._step_time() * self.slow)
             await self._finish_step()
 
     def _drop_cancelled(self) -> None:
-        gone = [job for job in self._running if job.state is JobState.cancelled]
-        for job in gone:
-            self._leave(job)
+        cancelled = [job for job in self._running if job.state is JobState.cancelled]
+        for job in cancelled:
+            self._remove(job)
 
     def _admit(self) -> None:
         while self._waiting and len(self._running) < self.slots:
             *_, job = heapq.heappop(self._waiting)
             if job.state is JobState.cancelled:
                 continue
-            self._begin(job)
-        self.note_load()
+            self._start_job(job)
+        self.record_load()
 
-    def _begin(self, job: Job) -> None:
-        """Put a request into the batch: from here on it counts as run."""
+    def _start_job(self, job: Job) -> None:
+        """Add a request to the batch; it counts as run from now on."""
         job.state = JobState.running
         job.started = time.monotonic()
         cached = self._cache.match(job.blocks) * BLOCK_TOKENS
         job.cached_tokens = min(cached, job.prompt_tokens)
-        job.prompt_left = job.prompt_tokens - job.cached_tokens
+        job.prompt_remaining = job.prompt_tokens - job.cached_tokens
         self._running.append(job)
         counts = self._counts
         counts.requests[job.request_id] = counts.requests.get(job.request_id, 0) + 1
@@ -130,7 +130,7 @@
 
     def _step_time(self) -> float:
         extra = self._spec.batch_cost * (len(self._running) - 1)
-        prompt = min(PROMPT_CHUNK, sum(job.prompt_left for job in self._running))
+        prompt = min(PROMPT_CHUNK, sum(job.prompt_remaining for job in self._running))
         return self._spec.token_time * (1 + extra) + prompt * self._spec.prompt_time
 
     async def _finish_step(self) -> None:
@@ -138,11 +138,11 @@
         for job in list(self._running):
             if job.state is JobState.cancelled:
                 continue
-            if job.prompt_left:
-                read = min(budget, job.prompt_left)
-                job.prompt_left -= read
+            if job.prompt_remaining:
+                read = min(budget, job.prompt_remaining)
+                job.prompt_remaining -= read
                 budget -= read
-                if not job.prompt_left:
+                if not job.prompt_remaining:
                     self._cache.store(job.blocks)
                 continue
             await self._generate(job)
@@ -155,9 +155,9 @@
             return
         job.state = JobState.done
         await job.tokens.put(None)
-        self._leave(job)
+        self._remove(job)
 
-    def _leave(self, job: Job) -> None:
+    def _remove(self, job: Job) -> None:
         self._running.remove(job)
         self._counts.slot_seconds += time.monotonic() - job.started
-        self.note_load()
+        self.record_load()
--- a/packages/emulator/src/bronzepoint_emulator/engine/_cache.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of limited size, by the hashes of prompt blocks."""
+"""LRU prefix cache, keyed by the hashes of prompt blocks."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 
 
 class PrefixCache:
-    """Holds the blocks that were used last.
+    """Holds the most recently used blocks.
 
     Args:
-        size: Blocks that it holds.
-        listener: Told of every change.
+        size: Capacity in blocks.
+        listener: Called with each change and the blocks concerned.
     """
 
     def __init__(self, size: int, listener: Listener) -> None:
@@ -22,7 +22,7 @@
         self._listener = listener
 
     def match(self, blocks: list[str]) -> int:
-        """Return how many leading blocks are cached, and mark them as used."""
+        """Return the number of leading blocks cached; mark them as used."""
         count = 0
         for block in blocks:
             if block not in self._blocks:
@@ -32,7 +32,7 @@
         return count
 
     def store(self, blocks: list[str]) -> None:
-        """Add blocks; those that were not used for longest make room."""
+        """Add blocks; the least recently used ones are evicted."""
         added = [block for block in blocks if block not in self._blocks]
         for block in blocks:
             self._blocks[block] = None
@@ -50,10 +50,10 @@
         return removed
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all blocks."""
         self._blocks.clear()
         self._listener(CacheEventKind.cleared, [])
 
     def blocks(self) -> list[str]:
-        """Return all cached blocks, those used last at the end."""
+        """Return all cached blocks, the most recently used last."""
         return list(self._blocks)
--- a/packages/emulator/src/bronzepoint_emulator/engine/_chat.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_chat.py
@@ -9,11 +9,12 @@
 from bronzepoint_emulator.engine._job import Job
 
 DEFAULT_MAX_TOKENS = 16
+"""Tokens generated where a request gives no maximum."""
 LAST_EVENT = b"data: [DONE]\n\n"
 
 
 class ChatRequest(Struct):
-    """What an engine reads of a request."""
+    """The fields of a chat request that an engine uses."""
 
     model: str = ""
     messages: list[dict[str, Any]] = field(default_factory=list)
@@ -21,7 +22,7 @@
     stream: bool = False
 
     def job(self, request_id: str, priority: int) -> Job:
-        """Return the work that this request gives."""
+        """Return the job that runs this request."""
         text = prompt_text(self.messages)
         return Job(
             request_id,
@@ -35,7 +36,7 @@
     def echo(self) -> str:
         """Return the last word of the prompt, which the answer repeats.
 
-        Tests put a nonce there, to see that an answer belongs to its request.
+        Tests put a nonce there, to check that an answer belongs to its request.
         """
         words = (
             str(self.messages[-1].get("content", "")).split() if self.messages else []
@@ -77,7 +78,7 @@
     return b"data: " + msgspec.json.encode(chunk) + b"\n\n"
 
 
-def whole_answer(job: Job, model: str, text: str) -> bytes:
+def complete_answer(job: Job, model: str, text: str) -> bytes:
     """Return the body of an answer that isn't streamed."""
     return msgspec.json.encode(
         {
--- a/packages/emulator/src/bronzepoint_emulator/engine/_engine.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_engine.py
@@ -1,19 +1,19 @@
-"""The HTTP face of one stand-in engine."""
+"""HTTP server of one stub engine."""
 
 import curio
 import msgspec
 
 from bronzepoint_common.http import Disconnected, Exchange, HttpClient, HttpServer
 from bronzepoint_emulator._faults import merge_faults
-from bronzepoint_emulator._serving import JSON_HEADERS, stand_in_limits
+from bronzepoint_emulator._serving import JSON_HEADERS, stub_limits
 from bronzepoint_emulator.engine._batch import Batch
 from bronzepoint_emulator.engine._cache import PrefixCache
 from bronzepoint_emulator.engine._chat import (
     LAST_EVENT,
     ChatRequest,
+    complete_answer,
     stream_event,
     token_text,
-    whole_answer,
 )
 from bronzepoint_emulator.engine._events import EventLog
 from bronzepoint_emulator.engine._job import Job, JobState
@@ -30,8 +30,11 @@
 from bronzepoint_schema.generated.platform import Order, OrderRefusal
 
 CLOSE_TIMEOUT = 0.0
+"""Seconds that open exchanges get to finish on close."""
 REFUSED_RETRY_AFTER = "1"
-WRONG_REQUEST_ID = "answer-of-another-request"
+"""Retry-After header of refusals, in seconds."""
+CROSSED_REQUEST_ID = "answer-of-another-request"
+"""Request id in the answers of an engine with the fault ``crossed``."""
 STREAM_HEADERS = {"content-type": "text/event-stream", "cache-control": "no-cache"}
 
 
@@ -39,10 +42,10 @@
     """Serves one engine on one port.
 
     Args:
-        spec: Its name, address, times and sizes.
+        spec: Name, address, durations (s) and sizes.
         weight_store: ``host:port`` of the weight store, or empty.
-        client: Shared by the engines of a process.
-        seed: Seed of lost cache events.
+        client: HTTP client for the weight store.
+        seed: Seed that selects the lost cache events.
     """
 
     def __init__(
@@ -57,21 +60,21 @@
         self._batch = Batch(spec, self._cache, self._load, self.counts)
         self._orders = Orders(spec, weight_store, client, self.counts)
         self._server = HttpServer(
-            self._handle, stand_in_limits(idle_timeout=spec.idle_timeout)
+            self._handle, stub_limits(idle_timeout=spec.idle_timeout)
         )
 
     @property
     def address(self) -> str:
-        """``host:port`` that it listens on."""
+        """``host:port`` that the engine listens on."""
         return self._server.address
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         await self._batch.start()
         await self._server.start(self.spec.listen)
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop serving."""
         await self._server.close(CLOSE_TIMEOUT)
         await self._batch.close()
 
@@ -119,7 +122,7 @@
         if faults.forget_cache:
             self._cache.clear()
             faults.forget_cache = False
-        self._batch.note_load()
+        self._batch.record_load()
         await _answer(exchange, faults)
 
     async def _import_cache(self, exchange: Exchange) -> None:
@@ -129,7 +132,7 @@
 
     async def _order(self, exchange: Exchange) -> None:
         order = msgspec.json.decode(await exchange.body(), type=Order)
-        outcome = await self._orders.take(order)
+        outcome = await self._orders.submit(order)
         match outcome.result:
             case OrderResult.accepted:
                 await _answer(exchange, self._orders.state, 202)
@@ -158,14 +161,16 @@
         if self.faults.hang:
             await exchange.wait_disconnect()
             return
-        if not self._takes_work():
+        if not self._accepts_requests():
             await self._refuse(exchange)
             return
         headers = exchange.request.headers
         job = chat.job(
             headers.get("x-request-id", ""), int(headers.get("x-priority", "0"))
         )
-        watcher = await curio.spawn(self._watch, exchange, job, daemon=True)
+        watcher = await curio.spawn(
+            self._cancel_on_disconnect, exchange, job, daemon=True
+        )
         try:
             await self._batch.submit(job)
             await self._answer_chat(exchange, chat, job)
@@ -175,12 +180,12 @@
             await self._batch.cancel(job)
             await watcher.cancel()
 
-    def _takes_work(self) -> bool:
+    def _accepts_requests(self) -> bool:
         loading = self._orders.state.loading
-        return not self.faults.refuse and not loading and self._batch.has_room
+        return not self.faults.refuse and not loading and self._batch.has_capacity
 
-    async def _watch(self, exchange: Exchange, job: Job) -> None:
-        """End a request whose caller has left, so that it stops costing slots."""
+    async def _cancel_on_disconnect(self, exchange: Exchange, job: Job) -> None:
+        """Cancel a request whose caller disconnects, to free its slot."""
         await exchange.wait_disconnect()
         await self._batch.cancel(job)
 
@@ -193,7 +198,7 @@
     def _headers(self, base: dict[str, str], exchange: Exchange) -> dict[str, str]:
         request_id = exchange.request.headers.get("x-request-id", "")
         if self.faults.crossed:
-            request_id = WRONG_REQUEST_ID
+            request_id = CROSSED_REQUEST_ID
         headers = base | {"x-request-id": request_id}
         if self.faults.leaving:
             headers["x-leaving"] = "1"
@@ -215,7 +220,7 @@
             await exchange.abort()
             return
         headers = self._headers(JSON_HEADERS, exchange)
-        body = whole_answer(job, chat.model, "".join(texts))
+        body = complete_answer(job, chat.model, "".join(texts))
         await exchange.respond(200, headers, body)
 
     async def _stream(self, exchange: Exchange, chat: ChatRequest, job: Job) -> None:
--- a/packages/emulator/src/bronzepoint_emulator/engine/_events.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_events.py
@@ -1,4 +1,4 @@
-"""Cache events as the platform publishes them: late and with gaps."""
+"""Cache events as the platform publishes them: delayed and with gaps."""
 
 import random
 import time
@@ -10,27 +10,28 @@
     CacheEvents,
 )
 
-KEPT_EVENTS = 2000
+MAX_EVENTS = 2000
+"""Number of events kept; older ones are dropped."""
 
 
 class EventLog:
-    """Numbers events, loses some and shows the rest after a while.
+    """Numbers events, drops some and publishes the rest after a lag.
 
     Args:
-        lag: Seconds until an event is shown.
-        loss: Share of the events that are never shown.
-        seed: Seed of the losses.
+        lag: Seconds until an event is published.
+        loss: Share of events that are never published.
+        seed: Seed that selects the dropped events.
     """
 
     def __init__(self, lag: float, loss: float, seed: int) -> None:
         self._lag = lag
         self._loss = loss
         self._random = random.Random(seed)
-        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=MAX_EVENTS)
         self._number = 0
 
     def add(self, kind: CacheEventKind, blocks: list[str]) -> None:
-        """Number an event; keep it unless it is one of those that get lost."""
+        """Number an event and store it, unless it is drawn as lost."""
         self._number += 1
         if self._random.random() < self._loss:
             return
@@ -38,7 +39,7 @@
         self._events.append((time.time(), event))
 
     def after(self, number: int) -> CacheEvents:
-        """Return the events with a greater number that may be shown by now."""
+        """Return the published events with a greater number."""
         as_of = time.time() - self._lag
         events = [
             event
--- a/packages/emulator/src/bronzepoint_emulator/engine/_job.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_job.py
@@ -1,4 +1,4 @@
-"""One request inside an engine."""
+"""A request inside an engine."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class JobState(Enum):
-    """Phases of a request."""
+    """Processing state of a request."""
 
     waiting = "waiting"
     running = "running"
@@ -15,11 +15,11 @@
 
 
 class Job:
-    """One request: what it needs, and the queue its tokens arrive in.
+    """A request, its progress, and the queue of its generated tokens.
 
     Attributes:
-        tokens: Numbers of the generated tokens; None marks the end, whose
-            state tells whether it is whole.
+        tokens: Numbers of the generated tokens; None marks the end. ``state`` is
+            ``done`` if all tokens were generated.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self.cached_tokens = 0
         self.max_tokens = max_tokens
         self.generated = 0
-        self.prompt_left = 0
+        self.prompt_remaining = 0
         self.state = JobState.waiting
         self.tokens: curio.Queue = curio.Queue()
         self.started = 0.0
--- a/packages/emulator/src/bronzepoint_emulator/engine/_load.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_load.py
@@ -1,39 +1,42 @@
-"""Load reports that lag behind."""
+"""Load reports with a lag."""
 
 import time
 from collections import deque
 
 from bronzepoint_schema.generated.platform import LoadReport
 
-KEPT_SECONDS = 30.0
+RETENTION = 30.0
+"""Seconds for which samples are kept."""
 
 
 class LoadHistory:
-    """Remembers the load over time, to tell an old one.
+    """Records the load over time, to report it with a lag.
 
     Args:
-        slots: Requests that the engine works on at once.
-        lag: Seconds by which reports lag.
+        slots: Requests that the engine runs concurrently.
+        lag: Age of reports in seconds.
     """
 
     def __init__(self, slots: int, lag: float) -> None:
         self.lag = lag
         self._samples: deque[LoadReport] = deque()
-        self.note(0, 0, slots, leaving=False)
+        self.record(0, 0, slots, leaving=False)
 
-    def note(self, running: int, waiting: int, slots: int, *, leaving: bool) -> None:
-        """Remember the load as it is now."""
+    def record(self, running: int, waiting: int, slots: int, *, leaving: bool) -> None:
+        """Record the current load."""
         now = time.time()
         self._samples.append(LoadReport(running, waiting, slots, now, leaving))
-        while len(self._samples) > 2 and self._samples[1].as_of < now - KEPT_SECONDS:
+        while len(self._samples) > 2 and self._samples[1].as_of < now - RETENTION:
             self._samples.popleft()
 
     def report(self) -> LoadReport:
         """Return the load as it was ``lag`` seconds ago."""
         as_of = time.time() - self.lag
-        best = self._samples[0]
+        delayed = self._samples[0]
         for sample in self._samples:
             if sample.as_of > as_of:
                 break
-            best = sample
-        return LoadReport(best.running, best.waiting, best.slots, as_of, best.leaving)
+            delayed = sample
+        return LoadReport(
+            delayed.running, delayed.waiting, delayed.slots, as_of, delayed.leaving
+        )
--- a/packages/emulator/src/bronzepoint_emulator/engine/_orders.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine: one kind checks fencing numbers, the other ignores them."""
+"""Orders to an engine, which may check or ignore their fencing numbers."""
 
 import curio
 from msgspec import Struct
@@ -14,24 +14,26 @@
 from bronzepoint_schema.generated.platform import EngineState, Order
 
 FETCH_TIMEOUT = 30.0
+"""Seconds to wait for the weight store."""
 DEFAULT_RETRY_AFTER = "1"
+"""Seconds reported where the weight store gives no Retry-After header."""
 
 
 class OrderOutcome(Struct):
-    """What became of an order, and when to send it again where that helps."""
+    """Result of an order, and the Retry-After header if it may be sent again."""
 
     result: OrderResult
     retry_after: str = ""
 
 
 class Orders:
-    """Takes orders and carries them out.
+    """Checks orders and applies them.
 
     Args:
-        spec: Whether numbers are checked, and how long loading takes.
-        weight_store: ``host:port``; empty: weights are at hand.
-        client: For the weight store.
-        counts: Where orders are written down.
+        spec: Whether fencing numbers are checked, and the load time (s).
+        weight_store: ``host:port``; if empty, weights need no fetch.
+        client: HTTP client for the weight store.
+        counts: Record of the orders received.
     """
 
     def __init__(
@@ -48,8 +50,8 @@
         self._counts = counts
         self._loads = 0
 
-    async def take(self, order: Order) -> OrderOutcome:
-        """Accept an order, or refuse it for its old number or the store's rate."""
+    async def submit(self, order: Order) -> OrderOutcome:
+        """Apply an order, or refuse it as stale or rate limited."""
         outcome = await self._decide(order)
         self._counts.orders.append(
             OrderRecord(
@@ -63,7 +65,7 @@
         return outcome
 
     async def _decide(self, order: Order) -> OrderOutcome:
-        if not self._number_holds(order):
+        if not self._accept_fencing_number(order):
             return OrderOutcome(OrderResult.fenced)
         if order.order == self.state.order:
             return OrderOutcome(OrderResult.repeated)
@@ -73,16 +75,16 @@
                 headers = answer.headers if answer else {}
                 wait = headers.get("retry-after", DEFAULT_RETRY_AFTER)
                 return OrderOutcome(OrderResult.rate_limited, wait)
-            # A newer order, or this one sent again, may have come while it waited for
-            # the store.
-            if not self._number_holds(order):
+            # A newer order, or a resend of this one, may have been applied during the
+            # fetch.
+            if not self._accept_fencing_number(order):
                 return OrderOutcome(OrderResult.fenced)
             if order.order == self.state.order:
                 return OrderOutcome(OrderResult.repeated)
-        await self._carry_out(order)
+        await self._apply(order)
         return OrderOutcome(OrderResult.accepted)
 
-    def _number_holds(self, order: Order) -> bool:
+    def _accept_fencing_number(self, order: Order) -> bool:
         if self._spec.check is OrderCheck.unfenced:
             return True
         if order.fencing_number < self.state.fencing_number:
@@ -108,12 +110,12 @@
         except HttpError:
             return None
 
-    async def _carry_out(self, order: Order) -> None:
+    async def _apply(self, order: Order) -> None:
         state = self.state
         if self._needs_weights(order):
             state.loading = True
             self._loads += 1
-            await curio.spawn(self._end_load, self._loads, daemon=True)
+            await curio.spawn(self._finish_loading, self._loads, daemon=True)
         state.order = order.order
         state.model = order.model or state.model
         state.version = order.version or state.version
@@ -121,7 +123,7 @@
         if order.adapter not in ("", *state.adapters):
             state.adapters.append(order.adapter)
 
-    async def _end_load(self, number: int) -> None:
+    async def _finish_loading(self, number: int) -> None:
         await curio.sleep(self._spec.load_time)
         if number == self._loads:
             self.state.loading = False
--- a/packages/emulator/src/bronzepoint_emulator/fault_proxy/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/fault_proxy/__init__.py
@@ -1,4 +1,4 @@
-"""Proxy that carries the links between hosts and brings faults onto them."""
+"""TCP proxy that injects faults into the links between hosts."""
 
 from bronzepoint_emulator.fault_proxy._link import Link
 from bronzepoint_emulator.fault_proxy._proxy import FaultProxy
--- a/packages/emulator/src/bronzepoint_emulator/fault_proxy/__main__.py
+++ b/packages/emulator/src/bronzepoint_emulator/fault_proxy/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bronzepoint_emulator.fault_proxy PLAN``: carry the links of a plan."""
+"""``python -m bronzepoint_emulator.fault_proxy PLAN``: run the links of a plan."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 
 def main(plan: Path) -> None:
-    """Carry the links that the JSON file PLAN lists until a signal comes."""
+    """Proxy the links that the JSON file PLAN lists until SIGINT or SIGTERM."""
     serve(FaultProxy(msgspec.json.decode(plan.read_bytes(), type=ProxyPlan)))
 
 
--- a/packages/emulator/src/bronzepoint_emulator/fault_proxy/_link.py
+++ b/packages/emulator/src/bronzepoint_emulator/fault_proxy/_link.py
@@ -1,4 +1,4 @@
-"""One link: it accepts connections and carries their bytes, or doesn't."""
+"""One link: a TCP forwarder with configurable faults."""
 
 import struct
 from enum import Enum
@@ -10,18 +10,21 @@
 from bronzepoint_schema.generated.emulator import LinkFault, LinkMode, LinkSpec
 
 CHUNK = 65536
+"""Bytes read from a socket at once."""
 QUEUED_CHUNKS = 64
+"""Chunks buffered per direction before reading pauses."""
 LINGER_RESET = struct.pack("ii", 1, 0)
+"""Value of SO_LINGER that makes close() send a TCP reset."""
 
 
 class Direction(Enum):
-    """Which way bytes go, as seen from the side that connects."""
+    """Direction of bytes, relative to the side that connects."""
 
     forward = "forward"
     backward = "backward"
 
 
-_HELD = {
+_BLOCKED_DIRECTIONS = {
     LinkMode.cut: {Direction.forward, Direction.backward},
     LinkMode.cut_forward: {Direction.forward},
     LinkMode.cut_backward: {Direction.backward},
@@ -29,18 +32,18 @@
 
 
 class LinkReset(Exception):
-    """The link's connection must be reset, not closed in an orderly way."""
+    """The connection must be reset instead of closed in an orderly way."""
 
 
 class Link:
-    """Carries every connection of one link through one task each.
+    """Forwards the connections of one link, each in a task of its own.
 
-    A cut holds bytes back in silence and lets nothing be noticed: connections stay
-    open, ends of stream are held as well, and after the cut heals what was held is
-    delivered, as TCP does when a network partition ends.
+    The mode ``cut`` simulates a network partition: connections stay open, but bytes
+    and ends of stream are buffered. They are delivered once the mode changes, as TCP
+    does when a partition heals.
 
     Args:
-        spec: Where it listens and where it leads to.
+        spec: Addresses that it listens on and connects to, and its delay (s).
     """
 
     def __init__(self, spec: LinkSpec) -> None:
@@ -48,13 +51,13 @@
         self.fault = LinkFault(link=spec.link, delay=spec.delay)
         self._changed = curio.Event()
         self._listener: Socket | None = None
-        self._accepting: curio.Task | None = None
+        self._accept_task: curio.Task | None = None
         self._connections: set[curio.Task] = set()
 
     async def start(self) -> None:
-        """Listen and accept connections."""
+        """Start listening and accepting connections."""
         self._listener = await _listen(self.spec.listen)
-        self._accepting = await curio.spawn(self._accept, self._listener, daemon=True)
+        self._accept_task = await curio.spawn(self._accept, self._listener, daemon=True)
 
     async def close(self) -> None:
         """Stop listening and drop every connection."""
@@ -62,18 +65,18 @@
         await self._drop_connections()
 
     async def _stop_listening(self) -> None:
-        if self._accepting is None or self._listener is None:
+        if self._accept_task is None or self._listener is None:
             return
-        await self._accepting.cancel()
+        await self._accept_task.cancel()
         await self._listener.close()
-        self._accepting = self._listener = None
+        self._accept_task = self._listener = None
 
     async def _drop_connections(self) -> None:
         for task in list(self._connections):
             await task.cancel()
 
-    async def change(self, fault: LinkFault) -> None:
-        """Bring a fault onto the link, or take it away."""
+    async def set_fault(self, fault: LinkFault) -> None:
+        """Replace the link's fault; the default fault clears it."""
         self.fault = fault
         changed, self._changed = self._changed, curio.Event()
         await changed.set()
@@ -86,36 +89,36 @@
 
     async def _accept(self, listener: Socket) -> None:
         while True:
-            near, _ = await listener.accept()
-            task = await curio.spawn(self._carry, near, daemon=True)
+            client, _ = await listener.accept()
+            task = await curio.spawn(self._forward, client, daemon=True)
             self._connections.add(task)
 
-    async def _carry(self, near: Socket) -> None:
-        far = None
-        end = _reset
+    async def _forward(self, client: Socket) -> None:
+        server = None
+        close_socket = _reset
         try:
             if self.fault.mode is LinkMode.reset:
                 return
-            await self._pass(Direction.forward)
-            far = await _connect(self.spec.connect)
-            await self._carry_both(near, far)
-            # Both ends came and were passed on. A reset now would drop the last bytes
-            # that the kernel still holds for a slow reader.
-            end = _close
+            await self._wait_until_open(Direction.forward)
+            server = await _connect(self.spec.connect)
+            await self._forward_both_ways(client, server)
+            # Both directions reached their end of stream. A reset now would drop the
+            # last bytes that the kernel still buffers for a slow reader.
+            close_socket = _close
         except (OSError, LinkReset):
             return
         finally:
-            # A connection that isn't carried to its end is reset on both sides, so
-            # that neither takes a cut stream for a whole one.
-            await end(near)
-            if far is not None:
-                await end(far)
+            # A connection that failed before its end of stream is reset on both
+            # sides, so that neither takes a truncated stream for a complete one.
+            await close_socket(client)
+            if server is not None:
+                await close_socket(server)
             self._connections.discard(await curio.current_task())
 
-    async def _carry_both(self, near: Socket, far: Socket) -> None:
+    async def _forward_both_ways(self, client: Socket, server: Socket) -> None:
         async with curio.TaskGroup(wait=all) as group:
-            await group.spawn(self._pump, Direction.forward, near, far)
-            await group.spawn(self._pump, Direction.backward, far, near)
+            await group.spawn(self._pump, Direction.forward, client, server)
+            await group.spawn(self._pump, Direction.backward, server, client)
         if any(group.exceptions):
             raise LinkReset
 
@@ -128,7 +131,7 @@
             await reader.cancel()
 
     async def _read(self, source: Socket, queue: curio.Queue) -> None:
-        """Queue what arrives with the time at which it is due on the other side."""
+        """Queue each chunk with the time at which to forward it."""
         while True:
             try:
                 chunk = await source.recv(CHUNK)
@@ -148,28 +151,28 @@
             now = await curio.clock()
             if due > now:
                 await curio.sleep(due - now)
-            await self._pass(direction)
+            await self._wait_until_open(direction)
             if chunk is None:
                 raise LinkReset
             if not chunk:
                 await sink.shutdown(socket.SHUT_WR)
                 return
             if direction is Direction.backward:
-                chunk = self._before_cut(chunk, sent)
+                chunk = self._truncate(chunk, sent)
                 sent += len(chunk)
             await sink.sendall(chunk)
             if direction is Direction.backward and sent == self.fault.cut_after:
                 raise LinkReset
 
-    def _before_cut(self, chunk: bytes, sent: int) -> bytes:
+    def _truncate(self, chunk: bytes, sent: int) -> bytes:
         limit = self.fault.cut_after
         if limit < 0 or sent > limit:
             return chunk
         return chunk[: limit - sent]
 
-    async def _pass(self, direction: Direction) -> None:
-        """Wait until the link carries bytes that way."""
-        while direction in _HELD.get(self.fault.mode, ()):
+    async def _wait_until_open(self, direction: Direction) -> None:
+        """Wait until the link forwards bytes in this direction."""
+        while direction in _BLOCKED_DIRECTIONS.get(self.fault.mode, ()):
             await self._changed.wait()
 
 
@@ -195,12 +198,12 @@
 
 
 async def _close(sock: Socket) -> None:
-    """Close a socket; bytes still on their way are delivered."""
+    """Close a socket; buffered bytes are still delivered."""
     await sock.close()
 
 
 async def _reset(sock: Socket) -> None:
-    """Close a socket; bytes still on their way are dropped with a reset."""
+    """Reset a connection; buffered bytes are dropped."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     except OSError:
--- a/packages/emulator/src/bronzepoint_emulator/host_list/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/host_list/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-in for the platform's host list."""
+"""Stub of the platform's host list."""
 
-from bronzepoint_emulator.host_list._host_list import StandInHostList
+from bronzepoint_emulator.host_list._host_list import HostListStub
 
-__all__ = ["StandInHostList"]
+__all__ = ["HostListStub"]
--- a/packages/emulator/src/bronzepoint_emulator/host_list/__main__.py
+++ b/packages/emulator/src/bronzepoint_emulator/host_list/__main__.py
@@ -6,13 +6,13 @@
 import typer
 
 from bronzepoint_emulator._serving import serve
-from bronzepoint_emulator.host_list._host_list import StandInHostList
+from bronzepoint_emulator.host_list._host_list import HostListStub
 from bronzepoint_schema.generated.emulator import HostListPlan
 
 
 def main(plan: Path) -> None:
-    """Serve the list that the JSON file PLAN describes until a signal comes."""
-    serve(StandInHostList(msgspec.json.decode(plan.read_bytes(), type=HostListPlan)))
+    """Serve the list that the JSON file PLAN describes until SIGINT or SIGTERM."""
+    serve(HostListStub(msgspec.json.decode(plan.read_bytes(), type=HostListPlan)))
 
 
 if __name__ == "__main__":
--- a/packages/emulator/src/bronzepoint_emulator/service/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/service/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service; it keeps count of its runs."""
+"""Stub of a plain service that counts its runs."""
 
 from bronzepoint_emulator.service._service import PlainService
 
--- a/packages/emulator/src/bronzepoint_emulator/service/__main__.py
+++ b/packages/emulator/src/bronzepoint_emulator/service/__main__.py
@@ -12,7 +12,7 @@
 
 
 def main(plan: Path) -> None:
-    """Run the services that the JSON file PLAN lists until a signal comes."""
+    """Run the services that the JSON file PLAN lists until SIGINT or SIGTERM."""
     content = msgspec.json.decode(plan.read_bytes(), type=ServicePlan)
     serve(ServiceGroup([PlainService(spec) for spec in content.services]))
 
--- a/packages/emulator/src/bronzepoint_emulator/service/_service.py
+++ b/packages/emulator/src/bronzepoint_emulator/service/_service.py
@@ -1,4 +1,4 @@
-"""One plain service: it answers any path and counts each run."""
+"""A plain service that answers any path and counts each run."""
 
 from typing import Any
 
@@ -7,35 +7,37 @@
 
 from bronzepoint_common.http import Exchange, HttpServer
 from bronzepoint_emulator._faults import merge_faults
-from bronzepoint_emulator._serving import JSON_HEADERS, stand_in_limits
+from bronzepoint_emulator._serving import JSON_HEADERS, stub_limits
 from bronzepoint_schema.generated.emulator import RunCounts, ServiceSpec, TargetFaults
 
-WRONG_REQUEST_ID = "answer-of-another-request"
+CROSSED_REQUEST_ID = "answer-of-another-request"
+"""Request id in the answers of a target with the fault ``crossed``."""
 REFUSED_RETRY_AFTER = "1"
+"""Retry-After header of refusals, in seconds."""
 
 
 class PlainService:
     """Serves one plain service on one port.
 
-    It does nothing to run a call only once: what it counts shows whether the gateway
-    kept a call from running twice.
+    It does not deduplicate calls, so its counts show whether the gateway prevented a
+    call from running twice.
 
     Args:
-        spec: Its name, address and how long a call takes.
+        spec: Name, address and duration of a call (s).
     """
 
     def __init__(self, spec: ServiceSpec) -> None:
         self.spec = spec
         self.faults = TargetFaults()
         self.counts = RunCounts()
-        self._server = HttpServer(self._handle, stand_in_limits())
+        self._server = HttpServer(self._handle, stub_limits())
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         await self._server.start(self.spec.listen)
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop serving."""
         await self._server.close(0.0)
 
     async def _handle(self, exchange: Exchange) -> None:
@@ -82,9 +84,9 @@
     def _count(self, exchange: Exchange, body: bytes) -> None:
         headers = exchange.request.headers
         counts = self.counts
-        _add(counts.requests, headers.get("x-request-id", ""))
-        _add(counts.keys, headers.get("idempotency-key", ""))
-        _add(counts.nonces, _nonce(body))
+        _increment(counts.requests, headers.get("x-request-id", ""))
+        _increment(counts.keys, headers.get("idempotency-key", ""))
+        _increment(counts.nonces, _nonce(body))
 
     async def _answer(self, exchange: Exchange, body: bytes) -> None:
         req = exchange.request
@@ -110,20 +112,20 @@
     def _headers(self, exchange: Exchange) -> dict[str, str]:
         request_id = exchange.request.headers.get("x-request-id", "")
         if self.faults.crossed:
-            request_id = WRONG_REQUEST_ID
+            request_id = CROSSED_REQUEST_ID
         headers = JSON_HEADERS | {"x-request-id": request_id}
         if self.faults.leaving:
             headers["x-leaving"] = "1"
         return headers
 
 
-def _add(counts: dict[str, int], name: str) -> None:
+def _increment(counts: dict[str, int], name: str) -> None:
     if name:
         counts[name] = counts.get(name, 0) + 1
 
 
 def _nonce(body: bytes) -> str:
-    """Return the nonce that a test put into a JSON body."""
+    """Return the nonce in a JSON body; empty if there is none."""
     try:
         content: Any = msgspec.json.decode(body)
     except msgspec.MsgspecError:
--- a/packages/emulator/src/bronzepoint_emulator/weight_store/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/weight_store/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's rate-limited weight store."""
+"""Stub of the platform's rate-limited weight store."""
 
 from bronzepoint_emulator.weight_store._weight_store import WeightStore
 
--- a/packages/emulator/src/bronzepoint_emulator/weight_store/__main__.py
+++ b/packages/emulator/src/bronzepoint_emulator/weight_store/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bronzepoint_emulator.weight_store PLAN``: serve weights within a rate."""
+"""``python -m bronzepoint_emulator.weight_store PLAN``: run a weight store."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 
 def main(plan: Path) -> None:
-    """Serve as the JSON file PLAN says until a signal comes."""
+    """Run the store that the JSON file PLAN describes until SIGINT or SIGTERM."""
     serve(WeightStore(msgspec.json.decode(plan.read_bytes(), type=WeightStorePlan)))
 
 
--- a/tests/test_emulator_fault_proxy.py
+++ b/tests/test_emulator_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy between a client and an echoing server."""
+"""The fault proxy between a client and an echo server."""
 
 import socket
 import socketserver
@@ -28,7 +28,8 @@
 
 LINK = "a>b/peer"
 OTHER = "b>a/peer"
-SILENCE = 0.3
+BLOCKED_TIMEOUT = 0.3
+"""Seconds without data after which a link counts as blocked."""
 
 
 class Echo(socketserver.BaseRequestHandler):
@@ -79,66 +80,68 @@
         self.addCleanup(sock.close)
         return sock
 
-    def assert_silent(self, sock):
-        sock.settimeout(SILENCE)
+    def assert_blocked(self, sock):
+        sock.settimeout(BLOCKED_TIMEOUT)
         with self.assertRaises(TimeoutError):
             sock.recv(1)
         sock.settimeout(10)
 
-    def test_bytes_pass_both_ways_and_the_end_too(self):
-        """A reader that is slow loses the end of what was sent to it.
+    def test_all_bytes_and_end_of_stream_are_forwarded(self):
+        """A slow reader must receive the last bytes of a stream.
 
-        Sequence: the server sends all and closes, the proxy passes the end on and
-        closes too, while its kernel still holds the last bytes. Cause: a reset at the
-        end of a connection that was carried whole.
+        Both sides have sent all data and ended their streams while the kernel still
+        buffers the last bytes. They are lost if the proxy then resets the connection
+        instead of closing it.
         """
         sock = self.connect()
         sock.sendall(b"x" * 300000)
         sock.shutdown(socket.SHUT_WR)
-        # Only read once the server has sent everything, so that bytes do wait.
-        wait_until(lambda: len(self.server.received) == 300000, "all came")
+        # Reading starts late, so that bytes are buffered in the proxy's socket.
+        wait_until(
+            lambda: len(self.server.received) == 300000, "all bytes are received"
+        )
         received = b""
         while data := sock.recv(65536):
             received += data
         self.assertEqual(len(received), 300000)
 
-    def test_cut_is_silent_and_delivers_after_it_heals(self):
-        """A partition shows nothing but silence, and late bytes come after it."""
+    def test_partition_blocks_bytes_until_it_heals(self):
+        """No bytes arrive during a partition; they are delivered afterwards."""
         sock = self.connect()
         sock.sendall(b"1")
         self.assertEqual(sock.recv(1), b"1")
         self.change(LinkMode.cut)
         sock.sendall(b"2")
-        self.assert_silent(sock)
+        self.assert_blocked(sock)
         self.assertEqual(self.server.received, b"1")
         self.change(LinkMode.pass_)
         self.assertEqual(sock.recv(1), b"2")
 
-    def test_new_connection_during_a_cut_is_held(self):
+    def test_new_connection_during_a_partition_is_blocked(self):
         self.change(LinkMode.cut)
         sock = self.connect()
         sock.sendall(b"1")
-        self.assert_silent(sock)
+        self.assert_blocked(sock)
         self.change(LinkMode.pass_)
         self.assertEqual(sock.recv(1), b"1")
 
     @params((LinkMode.cut_forward, b"1"), (LinkMode.cut_backward, b"12"))
-    def test_cut_one_way(self, mode, received):
+    def test_partition_in_one_direction(self, mode, received):
         sock = self.connect()
         sock.sendall(b"1")
         self.assertEqual(sock.recv(1), b"1")
         self.change(mode)
         sock.sendall(b"2")
-        self.assert_silent(sock)
+        self.assert_blocked(sock)
         self.assertEqual(self.server.received, received)
 
-    def test_cut_leaves_other_links_alone(self):
+    def test_partition_does_not_affect_other_links(self):
         self.change(LinkMode.cut)
         sock = self.connect(OTHER)
         sock.sendall(b"1")
         self.assertEqual(sock.recv(1), b"1")
 
-    def test_reset_ends_connections(self):
+    def test_reset_closes_connections(self):
         sock = self.connect()
         sock.sendall(b"1")
         self.assertEqual(sock.recv(1), b"1")
@@ -146,7 +149,7 @@
         with self.assertRaises(ConnectionResetError):
             sock.recv(1)
 
-    def test_refused_link_takes_no_connection(self):
+    def test_refusing_link_accepts_no_connection(self):
         self.change(LinkMode.refuse)
         with self.assertRaises(ConnectionRefusedError):
             self.connect()
@@ -155,7 +158,7 @@
         sock.sendall(b"1")
         self.assertEqual(sock.recv(1), b"1")
 
-    def test_cut_after_some_bytes(self):
+    def test_connection_is_reset_after_some_bytes(self):
         self.change(LinkMode.pass_, cut_after=3)
         sock = self.connect()
         sock.sendall(b"12345")
@@ -165,7 +168,7 @@
                 received += data
         self.assertTrue(b"123".startswith(received))
 
-    def test_delay_holds_each_way(self):
+    def test_delay_applies_to_each_direction(self):
         self.change(LinkMode.pass_, delay=0.1)
         sock = self.connect()
         began = time.monotonic()
@@ -173,7 +176,7 @@
         self.assertEqual(sock.recv(1), b"1")
         self.assertGreaterEqual(time.monotonic() - began, 0.2)
 
-    def test_unknown_link_is_named(self):
+    def test_unknown_link_is_reported_by_name(self):
         faults = LinkFaults(links=[LinkFault(link="nowhere")])
         reply = self.control.post("/links", msgspec.json.encode(faults))
         self.assertEqual(reply.status, 404)
--- a/tests/test_emulator_load.py
+++ b/tests/test_emulator_load.py
@@ -1,4 +1,4 @@
-"""The load engine against a small server that refuses, cuts and answers."""
+"""The load generator against a server that answers, refuses or truncates answers."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 class FakeHost:
-    """Plays one part after another, the last one for ever."""
+    """Answers with one part after another and repeats the last one."""
 
     def __init__(self, *parts):
         self.parts = list(parts)
@@ -78,13 +78,11 @@
         (["cut", "answer"], False, 1, "cut"),
         ([refusal(Ran.no, 0.01)], True, 3, "refused"),
     )
-    def test_caller_sends_again_only_where_it_may(
-        self, parts, idempotent, seen, outcome
-    ):
-        """A caller that sends again at will doubles what isn't idempotent.
+    def test_caller_retries_only_where_safe(self, parts, idempotent, seen, outcome):
+        """A retry must not run a non-idempotent request twice.
 
-        Sequence: a try is refused or cut, the caller sends it again. Cause: a retry
-        without regard to what the refusal says of the run and of coming back.
+        After a refusal or a truncated answer, the caller may only retry if the request
+        is idempotent or did not run, and if the refusal allows a retry soon.
         """
         host = FakeHost(*parts)
         call = msgspec.structs.replace(CALL, idempotent=idempotent)
@@ -93,11 +91,11 @@
         self.assertEqual(result.outcomes, {outcome: 1})
         self.assertEqual(sum(result.retries.values()), seen - 1)
 
-    def test_what_is_due_beyond_the_bound_is_dropped(self):
+    def test_arrivals_above_the_concurrency_limit_are_dropped(self):
         result = curio.run(lambda: run_load(FakeHost("answer"), count=4, in_progress=1))
         self.assertEqual(result.outcomes, {"answered": 1, "dropped": 3})
 
-    def test_nobody_there(self):
+    def test_unreachable_host(self):
         async def run():
             client = HttpClient(HttpLimits(), 1.0)
             load = Load(client, ["127.0.0.1:1"], "token")
@@ -107,7 +105,7 @@
 
 
 class ArrivalsTest(unittest.TestCase):
-    def test_seed_repeats_the_moments(self):
+    def test_same_seed_gives_the_same_times(self):
         first = list(arrival_times(100.0, 10.0, 7))
         self.assertEqual(first, list(arrival_times(100.0, 10.0, 7)))
         self.assertNotEqual(first, list(arrival_times(100.0, 10.0, 8)))
--- a/tests/test_emulator_orders.py
+++ b/tests/test_emulator_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the stand-in engine."""
+"""Orders to the stub engine."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class SlowStore(Orders):
-    """Its weights take a moment to come."""
+    """Orders whose weights take 20 ms to fetch."""
 
     async def _fetch(self, order):
         await curio.sleep(0.02)
@@ -26,18 +26,20 @@
 
 class TestOrders(unittest.TestCase):
     @params(OrderCheck.fenced, OrderCheck.unfenced)
-    def test_order_that_is_sent_again_meanwhile_is_carried_out_once(self, check):
-        """Symptom: an order is carried out twice; seen once, in a run beside load.
-        Sequence: an engine that was frozen wakes with an order and its resend in its
-        connections; the second one comes while the first waits for the weights.
-        Cause: whether the order is known was looked up only before the wait."""
+    def test_order_resent_during_the_fetch_is_applied_once(self, check):
+        """An order must not be applied twice.
+
+        An engine that was suspended can receive an order and its resend together. If
+        it checks for repeated orders only before fetching the weights, both pass the
+        check while the first one waits for the fetch.
+        """
 
         async def main():
             spec = EngineSpec("e", "r", "z", "", check=check, model="m", version="1")
             orders = SlowStore(spec, "", None, RunCounts())
             order = Order("order-1", 7, version="2")
             async with curio.TaskGroup() as group:
-                tasks = [await group.spawn(orders.take, order) for _ in range(2)]
+                tasks = [await group.spawn(orders.submit, order) for _ in range(2)]
             return sorted(task.result.result for task in tasks)
 
         expected = [OrderResult.accepted, OrderResult.repeated]
--- a/tests/test_emulator_targets.py
+++ b/tests/test_emulator_targets.py
@@ -1,4 +1,4 @@
-"""The stand-in targets as processes: batching, cache, cancel, faults, orders."""
+"""The stub targets as processes: batching, cache, cancellation, faults, orders."""
 
 import http.client
 import tempfile
@@ -18,7 +18,7 @@
     saphan,
     wait_until,
 )
-from bronzepoint_emulator.host_list import StandInHostList
+from bronzepoint_emulator.host_list import HostListStub
 from bronzepoint_schema.generated.emulator import EngineSpec, HostListPlan
 from bronzepoint_schema.generated.platform import ListedState
 from bronzepoint_schema.ids import TargetName
@@ -31,7 +31,7 @@
 
 
 def small_engine(spec: EngineSpec) -> EngineSpec:
-    """Leave one engine a single slot, one waiting place and a tiny cache."""
+    """Limit the engine SMALL to one slot, one queued request and four cached blocks."""
     if spec.name != SMALL:
         return spec
     return msgspec.structs.replace(spec, slots=1, queue=1, cache_blocks=4)
@@ -55,7 +55,7 @@
     def client(self, name):
         return Client(self.targets.target(name))
 
-    def ask(self, name, prompt, max_tokens=4, **headers):
+    def send(self, name, prompt, max_tokens=4, **headers):
         names = {key.replace("_", "-"): value for key, value in headers.items()}
         body = chat_body("phrasebook", prompt, max_tokens, stream=False)
         return self.client(name).post(PATH, body, names)
@@ -73,7 +73,7 @@
 
     def test_answer_echoes_nonce_and_request_id(self):
         nonce, request_id = new_nonce(), new_nonce()
-        reply = self.ask(FENCED, f"hello {nonce}", x_request_id=request_id)
+        reply = self.send(FENCED, f"hello {nonce}", x_request_id=request_id)
         text = reply.json()["choices"][0]["message"]["content"]
         self.assertEqual(text, f"echo:{nonce} w1 w2 w3")
         self.assertEqual(reply.headers["x-request-id"], request_id)
@@ -87,33 +87,32 @@
         last = msgspec.json.decode(events[-2])
         self.assertEqual(last["usage"]["completion_tokens"], 3)
 
-    def test_second_prompt_finds_its_prefix_cached(self):
+    def test_prefix_of_a_repeated_prompt_is_cached(self):
         prompt = new_nonce() + LONG_PROMPT
-        first = self.ask(FENCED, prompt).json()["usage"]
-        second = self.ask(FENCED, prompt).json()["usage"]
+        first = self.send(FENCED, prompt).json()["usage"]
+        second = self.send(FENCED, prompt).json()["usage"]
         self.assertEqual(first["cached_tokens"], 0)
         self.assertGreater(second["cached_tokens"], 100)
 
-    def test_small_cache_forgets_what_was_used_longest_ago(self):
-        self.ask(SMALL, new_nonce() + LONG_PROMPT)
+    def test_cache_evicts_blocks_beyond_its_size(self):
+        self.send(SMALL, new_nonce() + LONG_PROMPT)
         exported = self.client(SMALL).get("/cache/export").json()
         self.assertEqual(len(exported["blocks"]), 4)
 
-    def test_cache_events_come_late_and_name_the_blocks(self):
+    def test_removal_events_are_published(self):
         def removed():
             events = self.client(SMALL).get("/cache/events?after=0").json()["events"]
             return [event for event in events if event["event"] == "removed"]
 
-        self.ask(SMALL, new_nonce() + LONG_PROMPT)
-        self.ask(SMALL, new_nonce() + LONG_PROMPT)
+        self.send(SMALL, new_nonce() + LONG_PROMPT)
+        self.send(SMALL, new_nonce() + LONG_PROMPT)
         self.assertTrue(wait_until(removed, "removal is published"))
 
     def test_full_engine_refuses_without_running(self):
-        """A caller is refused; the refusal must be true.
+        """A request refused because of a full queue must not count as run.
 
-        Symptom: a gateway says "not run" for a request that an engine ran. Sequence:
-        one request runs, one waits, a third finds the queue full. Cause: an engine
-        that counts or runs what it refuses.
+        One request runs and one waits, so the third is refused. If the engine ran it,
+        the gateway would wrongly report it as not run.
         """
         self.targets.set_faults(SMALL, load_lag=0.0)
         running = self.stream(SMALL, "a", 5000)
@@ -122,18 +121,20 @@
         waiting = self.send_without_reading(SMALL, "b")
         self.addCleanup(waiting.close)
         load = self.client(SMALL)
-        wait_until(lambda: load.get("/load").json()["waiting"] == 1, "one waits")
+        wait_until(
+            lambda: load.get("/load").json()["waiting"] == 1, "one request waits"
+        )
         request_id = new_nonce()
-        reply = self.ask(SMALL, "c", x_request_id=request_id)
+        reply = self.send(SMALL, "c", x_request_id=request_id)
         self.assertEqual(reply.status, 503)
         self.assertIn("retry-after", reply.headers)
         self.assertEqual(self.targets.runs(request_id), {})
 
-    def test_leaving_caller_frees_the_slot(self):
-        """Work whose caller has left goes on using a slot.
+    def test_disconnected_caller_frees_the_slot(self):
+        """A request must not occupy a slot after its caller has disconnected.
 
-        Sequence: a caller takes the first token and closes. Cause: nobody watches the
-        connection while tokens are generated.
+        The caller closes the connection after the first token, so the engine has to
+        watch the connection while it generates tokens.
         """
         before = self.targets.counts(FENCED).cancelled
         stream = self.stream(FENCED, "hello", 5000)
@@ -143,7 +144,7 @@
             lambda: self.targets.counts(FENCED).cancelled == before + 1, "cancelled"
         )
 
-    def test_cancelled_stream_is_not_ended_as_whole(self):
+    def test_cancelled_stream_ends_with_an_error(self):
         request_id = new_nonce()
         with self.stream(FENCED, "hello", 5000, request_id) as stream:
             events = stream.events()
@@ -153,28 +154,28 @@
             with self.assertRaises(http.client.IncompleteRead):
                 list(events)
 
-    def test_cut_stream_is_noticed(self):
+    def test_truncated_stream_raises_an_error(self):
         self.targets.set_faults(UNFENCED, cut_after=2)
         self.addCleanup(self.targets.set_faults, UNFENCED, cut_after=-1)
         with self.stream(UNFENCED, "hello", 6) as stream:
             with self.assertRaises(http.client.IncompleteRead):
                 list(stream.events())
 
-    def test_crossed_answer_carries_another_id(self):
+    def test_crossed_answer_has_another_request_id(self):
         self.targets.set_faults(UNFENCED, crossed=True)
         self.addCleanup(self.targets.set_faults, UNFENCED, crossed=False)
-        reply = self.ask(UNFENCED, "hello", x_request_id="mine")
+        reply = self.send(UNFENCED, "hello", x_request_id="mine")
         self.assertNotEqual(reply.headers["x-request-id"], "mine")
 
-    def test_leaving_engine_says_so(self):
+    def test_leaving_engine_reports_it(self):
         self.targets.set_faults(UNFENCED, leaving=True, load_lag=0.0)
         self.addCleanup(self.targets.set_faults, UNFENCED, leaving=False)
-        self.assertEqual(self.ask(UNFENCED, "hello").headers["x-leaving"], "1")
+        self.assertEqual(self.send(UNFENCED, "hello").headers["x-leaving"], "1")
         self.assertTrue(self.client(UNFENCED).get("/load").json()["leaving"])
 
     @params((FENCED, 409), (UNFENCED, 202))
-    def test_order_with_an_old_number(self, name, status):
-        """An order of a former leader reaches an engine after a newer one."""
+    def test_order_with_a_stale_fencing_number(self, name, status):
+        """A former leader's order reaches an engine after one with a newer number."""
         client = self.client(name)
         newer = {"order": new_nonce(), "fencing_number": 7, "role": "decode"}
         older = {"order": new_nonce(), "fencing_number": 6, "role": "prefill"}
@@ -184,7 +185,7 @@
         role = "decode" if status == 409 else "prefill"
         self.assertEqual(client.get("/orders").json()["role"], role)
 
-    def test_weights_are_fetched_within_the_rate(self):
+    def test_weight_fetches_are_rate_limited(self):
         client = self.client("cnx-engine-1")
         statuses = [
             client.post(
@@ -216,13 +217,13 @@
             return {host["name"]: host["state"] for host in hosts["hosts"]}[SMALL]
 
         self.targets.list_as(SMALL, ListedState.leaving)
-        wait_until(lambda: state() == "leaving", "the list shows it")
+        wait_until(lambda: state() == "leaving", "the list shows the change")
 
 
 class HostListTest(unittest.TestCase):
     @params((3600.0, ListedState.live), (0.0, ListedState.leaving))
-    def test_list_lags(self, lag, state):
+    def test_list_shows_changes_after_the_lag(self, lag, state):
         plan = HostListPlan(listen="", hosts=[TargetName(SMALL)], lag=lag)
-        host_list = StandInHostList(plan)
+        host_list = HostListStub(plan)
         host_list.change(TargetName(SMALL), ListedState.leaving)
         self.assertEqual([host.state for host in host_list.listed().hosts], [state])
