--- a/packages/emulator/src/bronzepoint_emulator/demo/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/demo/__init__.py
@@ -1,4 +1,4 @@
-"""A tour of Saphan's deployment that takes less than a minute."""
+"""Demo of Saphan's deployment; takes less than a minute."""
 
 from bronzepoint_emulator.demo._demo import run_demo
 
--- a/packages/emulator/src/bronzepoint_emulator/demo/_command_line.py
+++ b/packages/emulator/src/bronzepoint_emulator/demo/_command_line.py
@@ -15,11 +15,12 @@
 
 PROGRAM = Path(sys.executable).with_name("bronzepoint")
 TIMEOUT = 30.0
+"""Seconds that a command may take."""
 _REQUEST_ID = re.compile(r"(?:request|why) (\S+\.[0-9a-f]{32})")
 
 
 class CommandResult(Struct):
-    """What a command printed, and its exit status."""
+    """Output and exit status of a command."""
 
     status: int
     output: str
@@ -27,19 +28,19 @@
 
     @property
     def request_id(self) -> str:
-        """Identifier of the request that the command sent."""
+        """Identifier of the request that the command sent, from its stderr."""
         found = _REQUEST_ID.search(self.errors)
         if found is None:
-            raise StepFailed(f"No request id in: {self.errors}")
+            raise StepFailed(f"no request id in the command's output: {self.errors}")
         return found[1]
 
 
 class CommandLine:
-    """Runs commands and shows them with their output.
+    """Runs commands and prints them with their output.
 
     Args:
-        console: Where they are shown.
-        hosts: Addresses of the hosts that it asks, in this order.
+        console: Console to print to.
+        hosts: Addresses of the hosts to send to, in order of preference.
         token: Token of the caller or operator.
     """
 
@@ -49,9 +50,9 @@
         self._token = token
 
     def run(self, *arguments: str) -> CommandResult:
-        """Run one command to its end."""
-        shown = " ".join(_quoted(argument) for argument in arguments)
-        self._console.print(f"[bold cyan]$ bronzepoint {escape(shown)}[/]")
+        """Run a command and wait until it has ended."""
+        command = " ".join(_quote(argument) for argument in arguments)
+        self._console.print(f"[bold cyan]$ bronzepoint {escape(command)}[/]")
         child = spawn(
             [str(PROGRAM), *arguments],
             env=os.environ | self._environment(),
@@ -78,5 +79,5 @@
         }
 
 
-def _quoted(argument: str) -> str:
+def _quote(argument: str) -> str:
     return f"'{argument}'" if " " in argument or '"' in argument else argument
--- a/packages/emulator/src/bronzepoint_emulator/demo/_errors.py
+++ b/packages/emulator/src/bronzepoint_emulator/demo/_errors.py
@@ -2,4 +2,4 @@
 
 
 class StepFailed(Exception):
-    """A step of the demo did not show what it should."""
+    """The check of a demo step failed."""
--- a/packages/emulator/src/bronzepoint_emulator/deployment/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/__init__.py
@@ -1,6 +1,6 @@
 """Deployments of real processes on loopback, for tests, the demo and experiments.
 
-Plain blocking code: a test starts one, breaks it and waits for observed states.
+The API is blocking: a test starts a deployment, injects faults and polls its state.
 """
 
 from bronzepoint_emulator.deployment._client import (
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_cleanup.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_cleanup.py
@@ -1,4 +1,4 @@
-"""Ends deployments however the harness ends."""
+"""Closes deployments when the harness process exits."""
 
 import atexit
 import signal
@@ -6,35 +6,36 @@
 from collections.abc import Callable
 from types import FrameType
 
-SIGNAL_STATUS = 128
-_OPEN: list[Callable[[], None]] = []
+SIGNAL_STATUS_BASE = 128
+"""Added to a signal's number to give the exit status."""
+_CLOSE_CALLBACKS: list[Callable[[], None]] = []
 
 
-def watch(close: Callable[[], None]) -> None:
-    """Call ``close`` when this process ends, unless ``forget`` comes first.
+def register(close: Callable[[], None]) -> None:
+    """Call ``close`` when this process exits, until it is unregistered.
 
-    SIGTERM ends a Python process without any clean-up; it becomes SystemExit here, so
-    that context managers run. SIGKILL leaves the kernel's death signal to the
-    children.
+    By default, SIGTERM ends a Python process without any clean-up. The handler raises
+    SystemExit instead, so that context managers run. After SIGKILL, the children end
+    by the parent-death signal that the kernel sends them.
     """
-    if not _OPEN:
+    if not _CLOSE_CALLBACKS:
         atexit.register(_close_all)
-        _turn_sigterm_into_exit()
-    _OPEN.append(close)
+        _exit_on_sigterm()
+    _CLOSE_CALLBACKS.append(close)
 
 
-def forget(close: Callable[[], None]) -> None:
-    """Drop what ``watch`` was told."""
-    if close in _OPEN:
-        _OPEN.remove(close)
+def unregister(close: Callable[[], None]) -> None:
+    """Remove a callback added by ``register``."""
+    if close in _CLOSE_CALLBACKS:
+        _CLOSE_CALLBACKS.remove(close)
 
 
 def _close_all() -> None:
-    for close in list(_OPEN):
+    for close in list(_CLOSE_CALLBACKS):
         close()
 
 
-def _turn_sigterm_into_exit() -> None:
+def _exit_on_sigterm() -> None:
     if threading.current_thread() is not threading.main_thread():
         return
     if signal.getsignal(signal.SIGTERM) is signal.SIG_DFL:
@@ -42,4 +43,4 @@
 
 
 def _exit(number: int, frame: FrameType | None) -> None:
-    raise SystemExit(SIGNAL_STATUS + number)
+    raise SystemExit(SIGNAL_STATUS_BASE + number)
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_client.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_client.py
@@ -10,12 +10,14 @@
 from msgspec import Struct, field
 
 DEFAULT_TIMEOUT = 30.0
+"""Seconds for each connect and read, by default."""
 READ_SIZE = 65536
+"""Maximum bytes of one read."""
 EVENT_PREFIX = b"data:"
 
 
 class Reply(Struct):
-    """A whole answer; header names are in lower case."""
+    """A complete answer; header names are in lower case."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -27,7 +29,7 @@
 
     @property
     def request_id(self) -> str:
-        """Identifier of the request, as the gateway gave it out."""
+        """Identifier that the gateway assigned to the request."""
         return self.headers.get("bronzepoint-request-id", "")
 
     @property
@@ -37,7 +39,7 @@
 
 
 class ReplyStream:
-    """A streamed answer that is read event by event; a context manager."""
+    """A streamed answer, read event by event; a context manager."""
 
     def __init__(
         self, connection: http.client.HTTPConnection, answer: http.client.HTTPResponse
@@ -49,14 +51,14 @@
 
     @property
     def request_id(self) -> str:
-        """Identifier of the request, as the gateway gave it out."""
+        """Identifier that the gateway assigned to the request."""
         return self.headers.get("bronzepoint-request-id", "")
 
     def read(self) -> bytes:
         """Return the rest of the body.
 
         Raises:
-            http.client.IncompleteRead: The answer was cut.
+            http.client.IncompleteRead: The answer was truncated.
         """
         try:
             return self._answer.read()
@@ -67,11 +69,11 @@
         """Yield the data of each server-sent event.
 
         Raises:
-            http.client.IncompleteRead: The answer was cut.
+            http.client.IncompleteRead: The answer was truncated.
         """
         pending = b""
-        # Not readline(): it takes the end of a connection that was cut between two
-        # chunks for the end of the answer, and a cut stream would look whole.
+        # Not readline(): it treats a connection closed between two chunks as the end of
+        # the answer, so that a truncated stream would look complete.
         while data := self._read_some():
             *lines, pending = (pending + data).split(b"\n")
             for line in lines:
@@ -85,7 +87,7 @@
             raise http.client.IncompleteRead(b"") from exc
 
     def close(self) -> None:
-        """Close the connection, which tells the other side to stop."""
+        """Close the connection, which cancels the request."""
         self._answer.close()
         self._connection.close()
 
@@ -97,12 +99,12 @@
 
 
 class Client:
-    """Sends one request on each connection.
+    """Sends each request over a connection of its own.
 
     Args:
         address: ``host:port``.
-        token: Bearer token; empty: none is sent.
-        timeout: Seconds that one step (connect, read) may take.
+        token: Bearer token; none is sent if empty.
+        timeout: Seconds for each connect and read.
     """
 
     def __init__(
@@ -119,7 +121,7 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> ReplyStream:
-        """Send a request and return the answer, whose body is still to be read."""
+        """Send a request and return the answer without reading its body."""
         host, _, port = self.address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=self.timeout)
         try:
@@ -138,18 +140,18 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """Send a request and return the whole answer."""
+        """Send a request and return the complete answer."""
         with self.open(method, path, body, headers) as stream:
             return Reply(stream.status, stream.headers, stream.read())
 
     def get(self, path: str, headers: dict[str, str] | None = None) -> Reply:
-        """Send a GET."""
+        """Send a GET request."""
         return self.request("GET", path, None, headers)
 
     def post(
         self, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> Reply:
-        """Send a POST with a JSON body."""
+        """Send a POST request with a JSON body."""
         return self.request("POST", path, body, headers)
 
     def _headers(self, body: Any, headers: dict[str, str]) -> dict[str, str]:
@@ -167,7 +169,7 @@
         max_tokens: int = 16,
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """Ask a model for one whole answer."""
+        """Request a non-streamed answer of a model."""
         body = chat_body(model, prompt, max_tokens, stream=False)
         return self.post("/v1/chat/completions", body, headers)
 
@@ -178,7 +180,7 @@
         max_tokens: int = 16,
         headers: dict[str, str] | None = None,
     ) -> ReplyStream:
-        """Ask a model for a streamed answer."""
+        """Request a streamed answer of a model."""
         body = chat_body(model, prompt, max_tokens, stream=True)
         return self.open("POST", "/v1/chat/completions", body, headers)
 
@@ -191,7 +193,7 @@
         key: str = "",
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """Call a plain service, with an idempotency key where one is given."""
+        """Call a plain service, with an idempotency key unless it is empty."""
         extra = dict(headers or {})
         if key:
             extra["Idempotency-Key"] = key
@@ -205,7 +207,7 @@
 
 
 def chat_body(model: str, prompt: str, max_tokens: int, stream: bool) -> dict[str, Any]:
-    """Return a request by the chat-completions convention."""
+    """Return the body of a chat completions request."""
     return {
         "model": model,
         "messages": [{"role": "user", "content": prompt}],
@@ -215,10 +217,10 @@
 
 
 def new_key() -> str:
-    """Return a fresh idempotency key (UUIDv7)."""
+    """Return a new idempotency key (UUIDv7)."""
     return str(uuid_utils.uuid7())
 
 
 def new_nonce() -> str:
-    """Return a string that appears in no other request."""
+    """Return a unique string for one request."""
     return uuid.uuid4().hex
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_deployment.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment of real processes on loopback."""
+"""A deployment of real processes on loopback."""
 
 import shutil
 import tempfile
@@ -17,7 +17,7 @@
 from bronzepoint_emulator.deployment._ports import PortBlock
 from bronzepoint_emulator.deployment._process import ManagedProcess
 from bronzepoint_emulator.deployment._targets import Targets, stand_in
-from bronzepoint_emulator.deployment._waiting import PATIENCE, wait_until
+from bronzepoint_emulator.deployment._waiting import MAX_WAIT, wait_until
 from bronzepoint_schema.generated.catalogue import (
     CatalogueItem,
     ModelEntry,
@@ -26,21 +26,22 @@
 from bronzepoint_schema.ids import HostName
 
 CLOSE_TIMEOUT = 5.0
-SURELY_SEEN = 16
-"""Targets that a host sees at least, where its region has more."""
+"""Seconds that each process gets to exit after SIGTERM."""
+MIN_VISIBLE_TARGETS = 16
+"""Minimum number of targets that a host sees in a region with more of them."""
 
 
 class Deployment:
-    """Daemons and stand-ins of a layout, as processes; a context manager.
+    """Daemons and stubs of a layout, as processes; a context manager.
 
-    Entering it starts everything, forms the cluster, declares the layout's catalogue
-    and waits until all hosts serve on it. Whatever happens to this process,
-    none of the others outlives it.
+    Entering it starts all processes, forms the cluster, declares the layout's
+    catalogue and waits until it is in effect on all hosts. The processes end with
+    this one, however it ends.
 
     Args:
-        layout: What runs.
-        proxied: Put the links between hosts behind the fault proxy, which ``cut`` and
-            the like need, and which gives links between regions their delay.
+        layout: Hosts, targets, callers and catalogue to run.
+        proxied: Put the links between hosts behind the fault proxy. Link faults
+            (``cut`` and others) and the delay between regions need it.
         declare: Whether to form the cluster and declare the catalogue.
     """
 
@@ -71,12 +72,12 @@
     # Start and close
 
     def start(self) -> None:
-        """Start everything.
+        """Start all processes.
 
         Raises:
-            DeploymentError: A process ended, or a state was not reached.
+            DeploymentError: A process ended, or a state was not reached in time.
         """
-        _cleanup.watch(self.close)
+        _cleanup.register(self.close)
         self.folder = Path(tempfile.mkdtemp(prefix="bronzepoint-"))
         self._ports.start()
         self.hosts = Hosts(self.layout, self.folder, self._ports)
@@ -97,8 +98,8 @@
         self._proxy.wait_answering(self._links.plan.control, "/links")
 
     def close(self) -> None:
-        """End every process and remove the folder; may be called again."""
-        _cleanup.forget(self.close)
+        """End all processes and remove the folder; idempotent."""
+        _cleanup.unregister(self.close)
         if hasattr(self, "hosts"):
             self.hosts.close(CLOSE_TIMEOUT)
         if hasattr(self, "targets"):
@@ -119,7 +120,7 @@
         self.operator(self.layout.voters()[0].name).initialise()
 
     def declare_catalogue(self) -> int:
-        """Declare the layout's catalogue and wait until it is in force everywhere.
+        """Declare the layout's catalogue and wait until all hosts use it.
 
         Returns:
             Its revision.
@@ -135,10 +136,10 @@
         return revision
 
     def catalogue(self) -> list[CatalogueItem]:
-        """Return the layout's items with the real addresses."""
+        """Return the layout's catalogue items with the targets' addresses."""
         return self.layout.catalogue(self.layout, self.targets)
 
-    # Who asks
+    # Clients
 
     def host_names(self) -> list[HostName]:
         """Return the names of all hosts."""
@@ -149,7 +150,7 @@
         return self.hosts.addresses[HostName(host)].http
 
     def client(self, host: str, owner: str = "", region: str = "") -> Client:
-        """Return a caller at a host; by default the first owner's, at home there."""
+        """Return a client with a caller's token, by default of the host's region."""
         home = region or self.layout.host(host).region
         token = next(
             caller.token
@@ -159,7 +160,7 @@
         return Client(self.address(host), token)
 
     def operator(self, host: str = "", name: str = "") -> Operator:
-        """Return an operator at a host; by default the first one at the first host."""
+        """Return an operator's client, by default of the first host and operator."""
         spec = next(
             operator
             for operator in self.layout.operators
@@ -168,22 +169,22 @@
         at = host or self.layout.hosts[0].name
         return Operator(self.address(at), spec.token, spec.name)
 
-    # States that can be waited for
+    # States
 
     def revision(self, host: str) -> int:
-        """Return the catalogue revision that is in force on a host."""
+        """Return the catalogue revision in effect on a host."""
         return int(self.operator(host).status()["revision"])
 
     def wait_revision(self, revision: int, hosts: list[HostName] | None = None) -> None:
-        """Wait until hosts (all by default) have a revision in force."""
+        """Wait until a revision is in effect on hosts (all by default)."""
         for host in hosts or self.host_names():
             wait_until(
                 lambda h=host: self.revision(h) >= revision,
-                f"revision {revision} is in force on {host}",
+                f"revision {revision} is in effect on {host}",
             )
 
-    def wait_ready(self, host: str, timeout: float = PATIENCE) -> None:
-        """Wait until a host says that it is ready to serve."""
+    def wait_ready(self, host: str, timeout: float = MAX_WAIT) -> None:
+        """Wait until a host reports that it is ready to serve."""
         client = Client(self.address(host))
         wait_until(
             lambda: client.get("/v1/health").json()["ready"],
@@ -192,19 +193,19 @@
         )
 
     def wait_targets(self, host: str) -> None:
-        """Wait until a host finds every target of its region ready.
+        """Wait until a host reports the targets of its region as ready.
 
-        A list that is still empty or partial must not pass: the first call would be
-        refused for want of a target.
+        With an empty or partial list of targets, the host would refuse the first call
+        because no target is available.
         """
         wanted = self._local_targets(host)
 
         def ready() -> bool:
             known = self.operator(host).targets()["targets"]
             found = {t["name"] for t in known if t["state"] == "ready"}
-            return len(found & wanted) >= min(len(wanted), SURELY_SEEN)
+            return len(found & wanted) >= min(len(wanted), MIN_VISIBLE_TARGETS)
 
-        wait_until(ready, f"{host} finds {', '.join(sorted(wanted))} ready")
+        wait_until(ready, f"{host} reports {', '.join(sorted(wanted))} as ready")
 
     def _local_targets(self, host: str) -> set[str]:
         region = self.layout.host(host).region
@@ -219,32 +220,32 @@
     # Faults of hosts
 
     def process(self, host: str) -> ManagedProcess:
-        """Return the daemon's process."""
+        """Return the process of a host's daemon."""
         return self.hosts.processes[HostName(host)]
 
     def kill(self, host: str) -> None:
-        """End a daemon at once (SIGKILL)."""
+        """Kill a daemon (SIGKILL)."""
         self.process(host).kill()
 
     def freeze(self, host: str) -> None:
-        """Stop a daemon with SIGSTOP: its connections stay, nothing answers."""
+        """Suspend a daemon (SIGSTOP); its connections stay open."""
         self.process(host).freeze()
 
     def thaw(self, host: str) -> None:
-        """Let a frozen daemon go on."""
+        """Resume a suspended daemon (SIGCONT)."""
         self.process(host).thaw()
 
     def terminate(self, host: str) -> None:
-        """Ask a daemon to shut down (SIGTERM); doesn't wait."""
+        """Ask a daemon to shut down (SIGTERM) without waiting for it."""
         self.process(host).terminate()
 
     def wipe(self, host: str) -> None:
-        """End a daemon at once and empty its data folder."""
+        """Kill a daemon and empty its data folder."""
         self.kill(host)
         self.hosts.wipe(host)
 
     def restart(self, host: str) -> None:
-        """Start a daemon again (killing it first where it runs) until it answers."""
+        """Restart a daemon (killed first if running) and wait until it answers."""
         self.kill(host)
         self.process(host).start()
         self.hosts.wait_answering(HostName(host))
@@ -253,46 +254,48 @@
 
     @property
     def links(self) -> Links:
-        """The links between hosts; needs ``proxied``."""
+        """The links between hosts; requires ``proxied``."""
         if self._links is None:
-            raise DeploymentError("No fault proxy runs: build it with proxied=True.")
+            raise DeploymentError(
+                "The deployment has no fault proxy: create it with proxied=True."
+            )
         return self._links
 
     def cut(self, a: str, b: str) -> None:
-        """Cut two hosts off from each other, in silence and both ways."""
+        """Partition two hosts from each other; connections stay open."""
         self.links.cut(a, b)
 
     def cut_one_way(self, source: str, sink: str) -> None:
-        """Hold back everything that goes from ``source`` to ``sink``."""
+        """Block all traffic from ``source`` to ``sink``."""
         self.links.cut_one_way(source, sink)
 
     def isolate_host(self, host: str) -> None:
-        """Cut one host off from all others."""
+        """Partition one host from all others."""
         self.links.isolate([host])
 
     def isolate_region(self, region: str) -> None:
-        """Cut the hosts of a region off from all others."""
+        """Partition the hosts of a region from all others."""
         self.links.isolate(host.name for host in self.layout.region_hosts(region))
 
     def heal(self) -> None:
-        """Take every fault off the links."""
+        """Clear the faults of all links."""
         self.links.heal()
 
     # Faults and counts of targets
 
     def set_faults(self, target: str, **faults: Any) -> None:
-        """Change faults of a target; see TargetFaults for what there is."""
+        """Change faults of a target; the keys are the fields of TargetFaults."""
         self.targets.set_faults(target, **faults)
 
     def runs(self, request_id: str) -> dict[str, int]:
-        """Return how often each target ran a request."""
+        """Return how often each target ran a request, by its id."""
         return self.targets.runs(request_id)
 
     def nonce_runs(self, nonce: str) -> dict[str, int]:
-        """Return how often each target ran a request with that nonce."""
+        """Return how often each target ran requests with a nonce."""
         return self.targets.nonce_runs(nonce)
 
 
 def next_version(item: CatalogueItem) -> CatalogueItem:
-    """Return a copy of an item that declares its next version."""
+    """Return a copy of an item with the next version."""
     return msgspec.structs.replace(item, version=item.version + 1)
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_hosts.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_hosts.py
@@ -16,6 +16,7 @@
 from bronzepoint_schema.ids import HostName
 
 CLUSTER_KEY = "5a" * 32
+"""Shared secret of the hosts, 64 hex digits."""
 
 
 class Hosts:
@@ -23,8 +24,8 @@
 
     Args:
         layout: The deployment.
-        folder: Where settings, data folders and logs go.
-        ports: Where free ports come from.
+        folder: Folder for settings, data folders and logs.
+        ports: Source of free ports.
     """
 
     def __init__(self, layout: Layout, folder: Path, ports: PortBlock) -> None:
@@ -49,17 +50,17 @@
         }
 
     def settings(self, name: str) -> Path:
-        """Return the settings file of a host."""
+        """Return the path of a host's settings file."""
         return self._folder / f"{name}.ini"
 
     def data_folder(self, name: str) -> Path | None:
-        """Return the data folder of a host, where it has a disk."""
+        """Return a host's data folder; None if it has no disk."""
         if not self._layout.host(name).voter:
             return None
         return self._folder / "data" / name
 
     def write_settings(self, links: Links | None, platform: PlatformAddresses) -> None:
-        """Write all settings files; behind a proxy the peers are its links."""
+        """Write all settings files; with a proxy, peer addresses are its links."""
         for host in self._layout.hosts:
             data_folder = self.data_folder(host.name)
             if data_folder is not None:
@@ -69,7 +70,7 @@
                 self._layout,
                 host,
                 self.addresses[host.name],
-                links.seen_by(host.name) if links else self.addresses,
+                links.addresses_for(host.name) if links else self.addresses,
                 platform,
                 CLUSTER_KEY,
                 data_folder,
@@ -83,16 +84,16 @@
             self.wait_answering(name)
 
     def wait_answering(self, name: HostName) -> None:
-        """Wait until a daemon answers its health check, whatever it says.
+        """Wait until a daemon answers its health check with any status.
 
         Raises:
-            ProcessEnded: It has ended instead.
+            ProcessEnded: The daemon has ended.
         """
         address = self.addresses[name].http
         self.processes[name].wait_answering(address, "/v1/health")
 
     def wipe(self, name: str) -> None:
-        """Empty the data folder of a host that has been ended."""
+        """Empty the data folder of a host that is not running."""
         data_folder = self.data_folder(name)
         if data_folder is None:
             return
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_layout.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_layout.py
@@ -1,4 +1,4 @@
-"""What a deployment consists of: hosts, targets, callers and catalogue entries."""
+"""Structure of a deployment: hosts, targets, callers and catalogue entries."""
 
 from typing import Protocol
 
@@ -18,7 +18,7 @@
 
 
 class HostSpec(Struct, frozen=True):
-    """One host that runs ``bronzepointd``; a voter has a data folder."""
+    """A host that runs ``bronzepointd``; voters have a data folder."""
 
     name: HostName
     region: RegionName
@@ -27,7 +27,7 @@
 
 
 class CallerSpec(Struct, frozen=True):
-    """One caller's credentials."""
+    """Credentials of a caller."""
 
     name: CallerName
     token: str
@@ -36,28 +36,28 @@
 
 
 class OperatorSpec(Struct, frozen=True):
-    """One operator's credentials."""
+    """Credentials of an operator."""
 
     name: OperatorName
     token: str
 
 
 class Addresses(Protocol):
-    """Tells where a target listens, once ports have been picked."""
+    """Gives the address of a target, once ports are assigned."""
 
     def target(self, name: TargetName) -> str:
         """Return ``host:port`` of a target."""
 
 
 class CatalogueBuilder(Protocol):
-    """Writes a layout's catalogue once the addresses are known."""
+    """Builds a layout's catalogue, once addresses are assigned."""
 
     def __call__(self, layout: "Layout", addresses: Addresses) -> list[CatalogueItem]:
-        """Return the items that operators declare."""
+        """Return the items to declare."""
 
 
 class Layout(Struct, frozen=True):
-    """A whole deployment, without ports."""
+    """A deployment without port numbers."""
 
     name: str
     regions: list[RegionName]
@@ -68,16 +68,16 @@
     operators: list[OperatorSpec]
     catalogue: CatalogueBuilder
     region_delay: float = 0.0
-    """Seconds from one region to another; takes effect behind fault proxies."""
+    """One-way delay between regions in seconds; needs the fault proxy."""
     settings: dict[str, dict[str, str]] = field(default_factory=dict)
-    """Keys of the INI files by section, over the harness's defaults."""
+    """Keys of the INI files by section; they override the harness's defaults."""
 
     def voters(self) -> list[HostSpec]:
-        """Return the hosts that may vote."""
+        """Return the hosts that are voters."""
         return [host for host in self.hosts if host.voter]
 
     def host(self, name: str) -> HostSpec:
-        """Return the host of that name."""
+        """Return the host with this name."""
         return next(host for host in self.hosts if host.name == name)
 
     def region_hosts(self, region: str) -> list[HostSpec]:
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_links.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_links.py
@@ -1,4 +1,4 @@
-"""The links between hosts, each behind the fault proxy."""
+"""The links between hosts, which run through the fault proxy."""
 
 import itertools
 from collections.abc import Iterable
@@ -20,6 +20,7 @@
 from bronzepoint_schema.ids import HostName
 
 KINDS = ("peer", "http")
+"""Listeners of a host, each with links of its own."""
 
 
 def link_name(source: str, sink: str, kind: str) -> str:
@@ -28,15 +29,15 @@
 
 
 class Links:
-    """Plans the links of a layout and brings faults onto them.
+    """Plans the links of a layout and sets their faults.
 
-    Each host reaches each other host over links of its own, so that a fault can hit
-    one direction of one pair.
+    Each ordered pair of hosts has links of its own, so that a fault can affect a single
+    direction.
 
     Args:
         layout: The deployment.
-        hosts: Where the hosts really listen.
-        ports: Where free ports come from.
+        hosts: Addresses that the hosts listen on.
+        ports: Source of free ports.
     """
 
     def __init__(
@@ -50,22 +51,22 @@
         specs: list[LinkSpec] = []
         for source, sink in itertools.permutations(layout.hosts, 2):
             delay = 0.0 if source.region == sink.region else layout.region_delay
-            seen = HostAddresses(http=ports.address(), peer=ports.address())
+            proxied = HostAddresses(http=ports.address(), peer=ports.address())
             real = hosts[sink.name]
-            self._addresses.setdefault(source.name, {})[sink.name] = seen
+            self._addresses.setdefault(source.name, {})[sink.name] = proxied
             names = [link_name(source.name, sink.name, kind) for kind in KINDS]
-            specs.append(LinkSpec(names[0], seen.peer, real.peer, delay))
-            specs.append(LinkSpec(names[1], seen.http, real.http, delay))
+            specs.append(LinkSpec(names[0], proxied.peer, real.peer, delay))
+            specs.append(LinkSpec(names[1], proxied.http, real.http, delay))
         self.plan = ProxyPlan(control=ports.address(), links=specs)
         self._delays = {spec.link: spec.delay for spec in specs}
         self._client = Client(self.plan.control)
 
-    def seen_by(self, host: HostName) -> dict[HostName, HostAddresses]:
-        """Return the addresses at which one host reaches the others."""
+    def addresses_for(self, host: HostName) -> dict[HostName, HostAddresses]:
+        """Return the addresses through which one host reaches the others."""
         return self._addresses[host]
 
     def set_modes(self, modes: dict[str, LinkMode]) -> None:
-        """Set the modes of links, by name, all together."""
+        """Set the modes of several links, by name, in one request."""
         faults = [
             LinkFault(link=name, mode=mode, delay=self._delays[name])
             for name, mode in modes.items()
@@ -73,39 +74,43 @@
         self.change(faults)
 
     def change(self, faults: Iterable[LinkFault]) -> None:
-        """Bring faults onto links."""
+        """Set the faults of links."""
         body = msgspec.json.encode(LinkFaults(links=list(faults)))
         reply = self._client.post("/links", body)
         if reply.status != 200:
             raise RequestFailed("A change of links", reply.status, reply.body)
 
     def cut(self, a: str, b: str) -> None:
-        """Cut two hosts off from each other, in silence and both ways."""
-        self.set_modes(_both(a, b, LinkMode.cut, LinkMode.cut))
+        """Partition two hosts from each other; connections stay open."""
+        self.set_modes(_pair_modes(a, b, LinkMode.cut, LinkMode.cut))
 
     def cut_one_way(self, source: str, sink: str) -> None:
-        """Hold back everything that goes from ``source`` to ``sink``."""
-        self.set_modes(_both(source, sink, LinkMode.cut_forward, LinkMode.cut_backward))
+        """Block all traffic from ``source`` to ``sink``."""
+        self.set_modes(
+            _pair_modes(source, sink, LinkMode.cut_forward, LinkMode.cut_backward)
+        )
 
     def heal_pair(self, a: str, b: str) -> None:
-        """Let two hosts reach each other again."""
-        self.set_modes(_both(a, b, LinkMode.pass_, LinkMode.pass_))
+        """Clear the faults of the links between two hosts."""
+        self.set_modes(_pair_modes(a, b, LinkMode.pass_, LinkMode.pass_))
 
     def heal(self) -> None:
-        """Take every fault away; what was held back is delivered."""
+        """Clear all faults; buffered bytes are delivered."""
         self.set_modes(dict.fromkeys(self._delays, LinkMode.pass_))
 
     def isolate(self, hosts: Iterable[str]) -> None:
-        """Cut these hosts off from all others, in silence and both ways."""
+        """Partition these hosts from all others; connections stay open."""
         inside = set(hosts)
         outside = [host.name for host in self._layout.hosts if host.name not in inside]
         modes: dict[str, LinkMode] = {}
         for a, b in itertools.product(sorted(inside), outside):
-            modes |= _both(a, b, LinkMode.cut, LinkMode.cut)
+            modes |= _pair_modes(a, b, LinkMode.cut, LinkMode.cut)
         self.set_modes(modes)
 
 
-def _both(a: str, b: str, from_a: LinkMode, from_b: LinkMode) -> dict[str, LinkMode]:
-    """Return the modes of all links between two hosts, by who connects."""
+def _pair_modes(
+    a: str, b: str, from_a: LinkMode, from_b: LinkMode
+) -> dict[str, LinkMode]:
+    """Return the modes of all links between two hosts, by link name."""
     modes = {link_name(a, b, kind): from_a for kind in KINDS}
     return modes | {link_name(b, a, kind): from_b for kind in KINDS}
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_operator.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_operator.py
@@ -1,4 +1,4 @@
-"""What an operator asks of a host, over its HTTP interface."""
+"""Operator requests to a host over its HTTP interface."""
 
 import time
 from typing import Any
@@ -8,7 +8,7 @@
 
 from bronzepoint_emulator.deployment._client import Client, Reply
 from bronzepoint_emulator.deployment._errors import RequestFailed
-from bronzepoint_emulator.deployment._waiting import PATIENCE, POLL
+from bronzepoint_emulator.deployment._waiting import MAX_WAIT, POLL
 from bronzepoint_schema.generated.catalogue import (
     CatalogueItem,
     ClassItem,
@@ -17,11 +17,12 @@
     ServiceEntry,
 )
 
-TRY_AGAIN = (502, 503, 504)
+RETRY_STATUSES = (502, 503, 504)
+"""Answers after which a request is sent again."""
 
 
 def item_kind(item: CatalogueItem) -> str:
-    """Return the kind that the interface calls an item by."""
+    """Return the name of an item's kind in the HTTP interface."""
     match item:
         case ModelEntry():
             return "model"
@@ -34,7 +35,7 @@
 
 
 class Operator:
-    """One operator at one host.
+    """Client of one operator at one host.
 
     Args:
         address: ``host:port`` of the host.
@@ -47,11 +48,11 @@
         self.name = name
 
     def initialise(self) -> None:
-        """Form the cluster; asked of one host, once or again."""
-        self._patiently("/v1/admin/init", {})
+        """Form the cluster; idempotent."""
+        self._post_with_retries("/v1/admin/init", {})
 
     def put(self, item: CatalogueItem) -> int:
-        """Declare an item; its version must be the next one.
+        """Declare an item, whose version must be the next one.
 
         Returns:
             The revision at which it was accepted.
@@ -77,25 +78,25 @@
         }
 
     def change(self, body: dict[str, Any]) -> Reply:
-        """Send a change until it is answered, with the same change id each time."""
-        return self._patiently("/v1/admin/changes", body)
+        """Send a change, retrying with the same change id until it is accepted."""
+        return self._post_with_retries("/v1/admin/changes", body)
 
     def try_change(self, body: dict[str, Any]) -> Reply:
-        """Send a change once and return whatever is answered."""
+        """Send a change once and return the answer."""
         return self.client.post("/v1/admin/changes", body)
 
-    def _patiently(self, path: str, body: Any) -> Reply:
-        deadline = time.monotonic() + PATIENCE
+    def _post_with_retries(self, path: str, body: Any) -> Reply:
+        deadline = time.monotonic() + MAX_WAIT
         while True:
             reply = self.client.post(path, body)
             if reply.status < 300:
                 return reply
-            if reply.status not in TRY_AGAIN or time.monotonic() > deadline:
+            if reply.status not in RETRY_STATUSES or time.monotonic() > deadline:
                 raise RequestFailed(f"POST {path}", reply.status, reply.body)
             time.sleep(POLL)
 
     def status(self) -> dict[str, Any]:
-        """Return what the host says of itself."""
+        """Return the host's status."""
         return self._get("/v1/admin/status")
 
     def catalogue(self) -> Any:
@@ -119,7 +120,7 @@
         return self._get(f"/v1/why/{request_id}")
 
     def drain(self, host: str) -> Reply:
-        """Tell a host to take no new callers."""
+        """Drain a host: it accepts no new callers."""
         return self.client.post(f"/v1/admin/drain/{host}", {})
 
     def _get(self, path: str) -> Any:
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_ports.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_ports.py
@@ -1,4 +1,4 @@
-"""Loopback ports that no other process of this machine takes in the meantime."""
+"""Loopback ports, reserved across the processes of this machine."""
 
 import fcntl
 import os
@@ -8,20 +8,21 @@
 from pathlib import Path
 
 LOOPBACK = "127.0.0.1"
-# Below the kernel's range for outgoing connections: a port that was free when it was
-# picked would otherwise be taken as the source port of someone's connection before
-# the daemon binds it, which shows as a rare "address in use" at start.
+# Ports are below the kernel's ephemeral range. Otherwise an outgoing connection could
+# get a picked port as its source port before the daemon binds it, and the daemon would
+# occasionally fail to start with "address in use".
 FIRST_PORT = 10000
 LAST_PORT = 32000
-BLOCK = 250
+BLOCK_SIZE = 250
+"""Number of ports in a block."""
 
 
 class PortBlock:
-    """A block of ports held by a file lock for as long as this object is open.
+    """A block of ports, reserved by a file lock until it is closed.
 
-    Several test processes pick ports at once. Binding, closing and handing the number
-    on would let two of them pick the same one; the lock on the block excludes that,
-    and the kernel drops it when the holder dies.
+    Test processes pick ports concurrently. If each bound a port, closed it and passed
+    on its number, two of them could pick the same one. The lock prevents that, and the
+    kernel releases it when its holder dies.
     """
 
     def __init__(self) -> None:
@@ -29,20 +30,20 @@
         self._ports: list[int] = []
 
     def start(self) -> None:
-        """Lock a free block.
+        """Lock an unused block.
 
         Raises:
-            RuntimeError: All blocks are held; end other deployments first.
+            RuntimeError: All blocks are locked by other deployments.
         """
         folder = Path(tempfile.gettempdir()) / f"bronzepoint-ports-{os.getuid()}"
         folder.mkdir(exist_ok=True)
-        blocks = list(range(FIRST_PORT, LAST_PORT - BLOCK, BLOCK))
+        blocks = list(range(FIRST_PORT, LAST_PORT - BLOCK_SIZE, BLOCK_SIZE))
         random.shuffle(blocks)
         for first in blocks:
             if self._try_lock(folder / str(first)):
-                self._ports = list(range(first, first + BLOCK))
+                self._ports = list(range(first, first + BLOCK_SIZE))
                 return
-        raise RuntimeError("No free block of ports: end other deployments first.")
+        raise RuntimeError("No free block of ports: stop other deployments first.")
 
     def _try_lock(self, path: Path) -> bool:
         lock = os.open(path, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
@@ -60,10 +61,10 @@
             port = self._ports.pop(0)
             if _can_bind(port):
                 return f"{LOOPBACK}:{port}"
-        raise RuntimeError("The block of ports is used up: make BLOCK larger.")
+        raise RuntimeError("The block of ports is exhausted: increase BLOCK_SIZE.")
 
     def close(self) -> None:
-        """Give the block back."""
+        """Release the block."""
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_process.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_process.py
@@ -1,4 +1,4 @@
-"""One process of a deployment, which never outlives the harness."""
+"""A child process that never outlives the harness."""
 
 import ctypes
 import os
@@ -15,20 +15,21 @@
 from bronzepoint_emulator.deployment._waiting import wait_until
 
 PR_SET_PDEATHSIG = 1
+"""Option of prctl(2) that sets the parent-death signal."""
 POLL = 0.02
+"""Seconds between two checks of a process's state."""
 _LIBC = ctypes.CDLL(None, use_errno=True)
-# The kernel sends the death signal when the *thread* that forked ends, not the
-# process. Started from a short-lived thread, a daemon would be killed for no visible
-# reason in the middle of a test, so one thread that lives as long as the process
-# starts them all.
+# The kernel sends the parent-death signal when the *thread* that forked ends, not the
+# process. A daemon started from a short-lived thread would be killed in the middle of a
+# test, so a single thread that lives as long as the process starts all children.
 _SPAWNER = ThreadPoolExecutor(max_workers=1, thread_name_prefix="spawner")
 
 
-def die_with(parent: int) -> Callable[[], None]:
-    """Return what a child of the process ``parent`` runs first, to die with it.
+def end_with_parent(parent: int) -> Callable[[], None]:
+    """Return a preexec function that makes a child end with its ``parent``.
 
-    Without this a harness that is killed (SIGKILL, a crash) leaves its daemons
-    behind; they would hold ports and answer the next test.
+    Without it, a harness that is killed or crashes would leave its daemons running;
+    they would hold ports and answer the requests of the next test.
     """
 
     def prepare() -> None:
@@ -40,28 +41,27 @@
 
 
 def spawn(command: list[str], **options: Any) -> subprocess.Popen:
-    """Start a child that ends with this process.
+    """Start a child process that ends with this process.
 
-    A child that runs Python code before its program makes the parent run the hooks of
-    ``os.register_at_fork``, and an exception raised there is only printed. A signal
-    handler that raises SystemExit in them would end nothing: an interrupted demo went
-    on and ended with 0. Handlers run on the main thread, so the child is started from
-    another one.
+    With a ``preexec_fn``, the parent runs the hooks of ``os.register_at_fork``, and an
+    exception raised in them is only printed. A SystemExit that a signal handler raises
+    there would be lost: an interrupted demo continued and exited with 0. Handlers run
+    on the main thread, so the child is started from another one.
 
     Args:
         command: Program and arguments.
-        options: As of ``subprocess.Popen``.
+        options: Options of ``subprocess.Popen``.
     """
-    prepare = die_with(os.getpid())
+    prepare = end_with_parent(os.getpid())
     future = _SPAWNER.submit(subprocess.Popen, command, preexec_fn=prepare, **options)
     return future.result()
 
 
 class ManagedProcess:
-    """A child process with its log file; ``start`` may be called again after it ended.
+    """A child process with a log file; it may be started again after it ended.
 
     Args:
-        name: What messages call it.
+        name: Name used in messages.
         command: Program and arguments.
         log: File that its output is appended to.
     """
@@ -80,7 +80,7 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the child runs (a frozen one does)."""
+        """Whether the child is running or suspended."""
         return self._child is not None and self._child.poll() is None
 
     def start(self) -> None:
@@ -92,7 +92,7 @@
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                # A crash inside a library leaves a stack in the log, not silence.
+                # Log a stack trace if the process crashes in native code.
                 env=os.environ | {"PYTHONFAULTHANDLER": "1"},
             )
         self._frozen = False
@@ -104,18 +104,18 @@
 
     @property
     def exit_status(self) -> int | None:
-        """Exit status of the last run; None while it runs or before it ever ran."""
+        """Exit status of the last run; None while running or if never started."""
         return None if self._child is None else self._child.poll()
 
     def check(self) -> None:
-        """Raise ProcessEnded where the child isn't running."""
+        """Raise ProcessEnded if the child is not running."""
         self._running()
 
     def wait_answering(self, address: str, path: str) -> None:
-        """Wait until the child answers a GET, with whatever status.
+        """Wait until the child answers a GET request with any status.
 
         Raises:
-            ProcessEnded: It has ended instead; at once, with the end of its log.
+            ProcessEnded: The child has ended; raised immediately, with its log's tail.
         """
         client = Client(address)
 
@@ -126,7 +126,7 @@
         wait_until(answers, f"{self.name} answers at {address}")
 
     def freeze(self) -> None:
-        """Stop the child with SIGSTOP; returns once the kernel says it is stopped."""
+        """Suspend the child (SIGSTOP) and wait until the kernel reports it stopped."""
         child = self._running()
         child.send_signal(signal.SIGSTOP)
         self._frozen = True
@@ -139,12 +139,12 @@
         return stat.rpartition(")")[2].split()[0]
 
     def thaw(self) -> None:
-        """Let a frozen child go on."""
+        """Resume a suspended child (SIGCONT)."""
         self._running().send_signal(signal.SIGCONT)
         self._frozen = False
 
     def kill(self) -> None:
-        """End the child with SIGKILL and wait for it."""
+        """Kill the child (SIGKILL) and wait until it has ended."""
         if self._child is None:
             return
         if self._child.poll() is None:
@@ -152,7 +152,7 @@
         self._child.wait()
 
     def terminate(self) -> None:
-        """Ask the child to shut down (SIGTERM) without waiting."""
+        """Ask the child to shut down (SIGTERM) without waiting for it."""
         if self.alive:
             self._running().terminate()
 
@@ -163,7 +163,7 @@
             Its exit status.
 
         Raises:
-            subprocess.TimeoutExpired: It still runs after ``timeout`` seconds.
+            subprocess.TimeoutExpired: It is still running after ``timeout`` seconds.
         """
         if self._child is None:
             raise ProcessEnded(self.name, None, "")
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_samples.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_samples.py
@@ -1,4 +1,4 @@
-"""The two users' deployments, as layouts."""
+"""Layouts of two sample deployments."""
 
 from bronzepoint_emulator.deployment._layout import (
     Addresses,
@@ -42,7 +42,9 @@
 HOSTS_PER_REGION = 3
 ENGINES_PER_REGION = 2
 REGION_DELAY = 0.03
-# Two voters in each of two regions and one in the third: any one region may be lost.
+"""One-way delay between regions in seconds."""
+# With two voters in each of two regions and one in the third, a majority survives the
+# loss of any one region.
 VOTERS_PER_REGION = (2, 2, 1)
 OPERATORS = ("anong", "deniz")
 _ORDERS = {
@@ -74,7 +76,7 @@
             TargetName(f"{region}-engine-{number}"),
             region,
             _data_center(region),
-            # One engine of each region checks fencing numbers, the other doesn't.
+            # One engine of each region checks fencing numbers; the other ignores them.
             check=OrderCheck.fenced if number == 1 else OrderCheck.unfenced,
         )
         for region in regions
@@ -85,7 +87,7 @@
 def _callers(
     owners: list[OwnerName], prefix: str, regions: list[RegionName]
 ) -> list[CallerSpec]:
-    """Return one caller of each owner in each region; the token names both."""
+    """Return one caller per owner and region; its token contains both names."""
     return [
         CallerSpec(
             CallerName(f"{prefix}-{owner}-{region}"),
@@ -256,7 +258,7 @@
 
 
 def saphan(hosts_per_region: int = HOSTS_PER_REGION) -> Layout:
-    """Return Saphan's deployment: a phrasebook over bkk, sgp and cnx."""
+    """Return Saphan's deployment: a phrasebook in bkk, sgp and cnx."""
     return _build(
         "saphan",
         ["bkk", "sgp", "cnx"],
@@ -268,7 +270,7 @@
 
 
 def karadeniz(hosts_per_region: int = HOSTS_PER_REGION) -> Layout:
-    """Return Karadeniz's deployment: quotes and orders over ist, fra and mrs."""
+    """Return Karadeniz's deployment: quotes and orders in ist, fra and mrs."""
     return _build(
         "karadeniz",
         ["ist", "fra", "mrs"],
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_settings.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_settings.py
@@ -1,4 +1,4 @@
-"""The INI file of one host."""
+"""Writes the INI settings file of a host."""
 
 import configparser
 from pathlib import Path
@@ -10,14 +10,14 @@
 
 
 class HostAddresses(Struct, frozen=True):
-    """Where one host listens."""
+    """Addresses that a host listens on."""
 
     http: str
     peer: str
 
 
 class PlatformAddresses(Struct, frozen=True):
-    """Where the platform's services listen."""
+    """Addresses of the platform's services."""
 
     host_list: str
     weight_store: str
@@ -25,9 +25,8 @@
 
 Sections = dict[str, dict[str, str]]
 
-# All processes of a deployment read one machine's clock. With the default allowance
-# for skewed clocks, hosts that have just started would refuse non-idempotent requests
-# for that long.
+# All processes of a deployment share one clock. After a start, hosts refuse
+# non-idempotent requests for the allowed clock skew (s); its default would delay tests.
 HARNESS_SETTINGS: Sections = {"run_once": {"clock_skew": "0.2"}}
 
 
@@ -41,18 +40,18 @@
     cluster_key: str,
     data_folder: Path | None,
 ) -> None:
-    """Write the settings of one host.
+    """Write the settings file of one host.
 
     Args:
         path: File to write.
         layout: The deployment.
-        host: Whose settings these are.
-        own: Where it listens.
-        peers: Where it reaches each other host; behind a fault proxy these are the
-            addresses of its own links.
-        platform: The platform's services.
+        host: The host.
+        own: Addresses that it listens on.
+        peers: Addresses of the other hosts; with a fault proxy, those of its links to
+            them.
+        platform: Addresses of the platform's services.
         cluster_key: 64 hex digits.
-        data_folder: Folder for its state, for a host that has a disk.
+        data_folder: Folder for its state; None if it has no disk.
     """
     sections: Sections = {
         "host": {
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_targets.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_targets.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a deployment: their plans, faults and counts."""
+"""The stub processes of a deployment: plans, faults and counters."""
 
 import sys
 from pathlib import Path
@@ -24,15 +24,16 @@
 from bronzepoint_schema.ids import TargetName
 
 HOST_LIST_LAG = 1.0
+"""Seconds until the host list shows a change."""
 
 
 class Targets:
-    """Runs the stand-ins of a layout and brings faults onto them.
+    """Runs the stub processes of a layout and sets their faults.
 
     Args:
         layout: The deployment.
-        folder: Where plans and logs go.
-        ports: Where free ports come from.
+        folder: Folder for plans and logs.
+        ports: Source of free ports.
     """
 
     def __init__(self, layout: Layout, folder: Path, ports: PortBlock) -> None:
@@ -55,11 +56,11 @@
         layout = self._layout
         plans = {
             "engine": EnginePlan(
-                engines=[self._placed(spec) for spec in layout.engines],
+                engines=[self._with_address(spec) for spec in layout.engines],
                 weight_store=self.platform.weight_store,
             ),
             "service": ServicePlan(
-                services=[self._placed(spec) for spec in layout.services]
+                services=[self._with_address(spec) for spec in layout.services]
             ),
             "host_list": HostListPlan(
                 listen=self.platform.host_list, hosts=self.names(), lag=HOST_LIST_LAG
@@ -70,11 +71,11 @@
             stand_in(command, plan, self._folder) for command, plan in plans.items()
         ]
 
-    def _placed(self, spec: Any) -> Any:
+    def _with_address(self, spec: Any) -> Any:
         return msgspec.structs.replace(spec, listen=self._addresses[spec.name])
 
     def start(self) -> None:
-        """Start all stand-ins and wait until they answer."""
+        """Start all stubs and wait until they answer."""
         for process in self.processes:
             process.start()
         engines, services, host_list, weight_store = self.processes
@@ -86,23 +87,23 @@
         weight_store.wait_answering(self.platform.weight_store, "/counts")
 
     def close(self, timeout: float) -> None:
-        """End all stand-ins."""
+        """End all stubs."""
         for process in self.processes:
             process.terminate()
         for process in self.processes:
             process.close(timeout)
 
     def set_faults(self, name: str, **faults: Any) -> None:
-        """Change faults of one target; see TargetFaults for what there is."""
-        _checked(self._client(name).post("/control", faults), f"faults of {name}")
+        """Change faults of a target; the keys are the fields of TargetFaults."""
+        _require_ok(self._client(name).post("/control", faults), f"faults of {name}")
 
     def counts(self, name: str) -> RunCounts:
-        """Return what one target ran."""
-        reply = _checked(self._client(name).get("/counts"), f"counts of {name}")
+        """Return the run counters of a target."""
+        reply = _require_ok(self._client(name).get("/counts"), f"counts of {name}")
         return msgspec.json.decode(reply.body, type=RunCounts)
 
     def runs(self, request_id: str) -> dict[str, int]:
-        """Return how often each target ran a request, where it ran it at all."""
+        """Return how often each target ran a request, by id; zeros are omitted."""
         counted = {name: self.counts(name).requests for name in self._addresses}
         return {
             name: requests[request_id]
@@ -111,10 +112,10 @@
         }
 
     def nonce_runs(self, nonce: str) -> dict[str, int]:
-        """Return how often each target ran a request with that nonce.
+        """Return how often each target ran requests with a nonce.
 
-        A service reads the nonce from its request's body, an engine takes the last
-        word of the prompt.
+        A service reads the nonce from the request's body; an engine uses the last word
+        of the prompt.
         """
         counted = {name: self.counts(name).nonces for name in self._addresses}
         return {
@@ -122,17 +123,17 @@
         }
 
     def list_as(self, name: str, state: ListedState) -> None:
-        """Change a target's state in the platform's host list, which lags."""
+        """Change a target's state in the host list, which shows it after a lag."""
         change = msgspec.json.encode(ListedHostChange(TargetName(name), state))
         reply = Client(self.platform.host_list).post("/control", change)
-        _checked(reply, f"state of {name} in the host list")
+        _require_ok(reply, f"state of {name} in the host list")
 
     def _client(self, name: str) -> Client:
         return Client(self._addresses[TargetName(name)])
 
 
 def stand_in(command: str, plan: Any, folder: Path) -> ManagedProcess:
-    """Return the process of one stand-in, after writing its plan."""
+    """Write the plan of a stub and return its process, not yet started."""
     path = folder / f"{command}.json"
     path.write_bytes(msgspec.json.encode(plan))
     module = f"bronzepoint_emulator.{command}"
@@ -143,7 +144,7 @@
     )
 
 
-def _checked(reply: Reply, what: str) -> Reply:
+def _require_ok(reply: Reply, what: str) -> Reply:
     if reply.status != 200:
         raise RequestFailed(what, reply.status, reply.body)
     return reply
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_waiting.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a state that can be observed, never for a measured time."""
+"""Polling for observable states, instead of sleeping for fixed times."""
 
 import http.client
 import time
@@ -12,33 +12,42 @@
 )
 
 T = TypeVar("T")
-PATIENCE = 30.0
+MAX_WAIT = 30.0
+"""Seconds to wait for a state, by default."""
 POLL = 0.05
-NOT_YET = (OSError, http.client.HTTPException, DeploymentError, ValueError, KeyError)
+"""Seconds between two polls."""
+RETRIED_ERRORS = (
+    OSError,
+    http.client.HTTPException,
+    DeploymentError,
+    ValueError,
+    KeyError,
+)
+"""Errors of a condition that count as not reached yet."""
 
 
 def wait_until(
     condition: Callable[[], T],
     what: str,
-    timeout: float = PATIENCE,
+    timeout: float = MAX_WAIT,
 ) -> T:
-    """Poll until the condition gives something true.
+    """Poll until the condition returns a true value.
 
-    A condition that can't be asked yet (a refused connection, an answer of another
-    kind) counts as not reached.
+    A condition that raises a connection error or fails to parse an answer counts as
+    not reached yet.
 
     Args:
-        condition: What is polled.
-        what: Name of the state, for the error.
-        timeout: Seconds after which it is given up; generous, since it decides
-            nothing but how long a failing test takes.
+        condition: Function to poll.
+        what: Description of the state, for the error message.
+        timeout: Seconds to wait. The default is generous, since it only affects how
+            long a failing test takes.
 
     Returns:
-        What the condition gave.
+        The value that the condition returned.
 
     Raises:
-        NotReached: With what was seen last.
-        ProcessEnded: At once, where the condition checks a process that has ended.
+        NotReached: The timeout passed; the message has the last value or error.
+        ProcessEnded: The condition raised it; passed on immediately.
     """
     deadline = time.monotonic() + timeout
     last = "nothing"
@@ -50,7 +59,7 @@
             last = repr(value)
         except ProcessEnded:
             raise
-        except NOT_YET as exc:
+        except RETRIED_ERRORS as exc:
             last = repr(exc)
         if time.monotonic() > deadline:
             raise NotReached(what, timeout, last)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo as a newcomer runs it, whole and interrupted."""
+"""The demo as a separate process, run to its end and interrupted."""
 
 import os
 import signal
@@ -12,24 +12,25 @@
 from bronzepoint_emulator.deployment import new_nonce, wait_until
 
 COMMAND = [sys.executable, "-m", "bronzepoint_emulator.demo"]
-MARK = "BRONZEPOINT_TEST_MARK"
+MARK_VARIABLE = "BRONZEPOINT_TEST_MARK"
 SIGNALLED_IN_FORK = """
 import os, signal
 from rich.console import Console
 from bronzepoint_emulator.demo._command_line import CommandLine
-from bronzepoint_emulator.deployment._cleanup import watch
+from bronzepoint_emulator.deployment._cleanup import register
 
-watch(lambda: None)
+register(lambda: None)
 os.register_at_fork(after_in_parent=lambda: os.kill(os.getpid(), signal.SIGTERM))
 CommandLine(Console(quiet=True), [], "token").run("--help")
 """
-PATIENCE = 120.0
-UNDER_WAY = "A streamed answer"
+MAX_WAIT = 120.0
+"""Seconds for the demo to end."""
+RUNNING_STEP = "A streamed answer"
 
 
 def marked_processes(mark):
-    """Return the ids of running processes that inherited the mark."""
-    wanted = f"{MARK}={mark}".encode()
+    """Return the ids of processes with the mark in their environment."""
+    wanted = f"{MARK_VARIABLE}={mark}".encode()
     found = []
     for folder in Path("/proc").glob("[0-9]*"):
         try:
@@ -45,49 +46,49 @@
         mark = new_nonce()
         demo = subprocess.Popen(
             COMMAND,
-            env=os.environ | {MARK: mark, "PYTHONUNBUFFERED": "1"},
+            env=os.environ | {MARK_VARIABLE: mark, "PYTHONUNBUFFERED": "1"},
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
         )
         self.addCleanup(demo.stdout.close)
-        self.addCleanup(demo.wait, PATIENCE)
+        self.addCleanup(demo.wait, MAX_WAIT)
         self.addCleanup(demo.kill)
         return demo, mark
 
-    def test_every_step_holds_and_nothing_is_left(self):
+    def test_all_steps_pass_and_no_process_remains(self):
         demo, mark = self.start()
-        output, _ = demo.communicate(timeout=PATIENCE)
+        output, _ = demo.communicate(timeout=MAX_WAIT)
         self.assertEqual(demo.returncode, 0, output)
         self.assertIn("Every step held", output)
         self.assertEqual(marked_processes(mark), [])
 
     @params(signal.SIGINT, signal.SIGTERM, signal.SIGKILL)
-    def test_interrupted_demo_leaves_nothing(self, number):
-        """Daemons run on after the demo was interrupted, and hold memory and ports.
+    def test_interrupted_demo_leaves_no_process(self, number):
+        """Daemons must not keep running and holding ports after an interrupt.
 
-        Sequence: the demo is interrupted while its deployment is up and a command
-        runs. Cause: a child isn't ended by its parent's end.
+        The demo is interrupted while its deployment is up and a command runs. By
+        default, child processes do not end with their parent.
         """
         demo, mark = self.start()
         for line in demo.stdout:
-            if UNDER_WAY in line:
+            if RUNNING_STEP in line:
                 break
         self.assertGreater(len(marked_processes(mark)), 9)
         demo.send_signal(number)
         demo.stdout.read()
-        self.assertNotEqual(demo.wait(PATIENCE), 0)
-        wait_until(lambda: not marked_processes(mark), "nothing is left")
+        self.assertNotEqual(demo.wait(MAX_WAIT), 0)
+        wait_until(lambda: not marked_processes(mark), "no process remains")
 
-    def test_signal_is_not_lost_while_a_command_is_started(self):
-        """Symptom: an interrupted demo goes on, and ends with 0.
+    def test_signal_during_the_start_of_a_command_ends_the_demo(self):
+        """A demo interrupted by SIGTERM must not continue and exit with 0.
 
-        Sequence: SIGTERM comes while the demo forks for a command. Cause: its handler
-        raises SystemExit inside a hook of the fork, where exceptions are only printed.
+        If the signal arrives while the demo forks for a command, its handler raises
+        SystemExit in a fork hook, where exceptions are only printed.
         """
         demo = subprocess.run(
             [sys.executable, "-c", SIGNALLED_IN_FORK],
             capture_output=True,
-            timeout=PATIENCE,
+            timeout=MAX_WAIT,
         )
         self.assertEqual(demo.returncode, 128 + signal.SIGTERM, demo.stderr)
--- a/tests/test_emulator_processes.py
+++ b/tests/test_emulator_processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment never outlive the harness."""
+"""Child processes never outlive the harness."""
 
 import os
 import signal
@@ -30,7 +30,7 @@
 
 
 def runs(pid):
-    """Whether a process of that id is there and is no zombie."""
+    """Return whether a process exists and is not a zombie."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
     except FileNotFoundError:
@@ -46,7 +46,7 @@
         self.child = ManagedProcess("sleeper", SLEEPER, self.log)
         self.addCleanup(self.child.kill)
 
-    def test_frozen_process_stands_still_and_goes_on(self):
+    def test_frozen_process_is_stopped_and_resumes(self):
         self.child.start()
         self.child.freeze()
         state = Path(f"/proc/{self.child.pid}/stat").read_text().rpartition(")")[2]
@@ -55,13 +55,13 @@
         self.child.close(10.0)
         self.assertFalse(self.child.alive)
 
-    def test_frozen_process_is_ended_by_close(self):
+    def test_close_ends_a_frozen_process(self):
         self.child.start()
         self.child.freeze()
         self.child.close(10.0)
         self.assertFalse(self.child.alive)
 
-    def test_ended_process_is_reported_with_its_log(self):
+    def test_error_for_an_ended_process_has_its_log(self):
         command = [sys.executable, "-c", "print('reason'); raise SystemExit(3)"]
         child = ManagedProcess("short", command, self.log)
         child.start()
@@ -71,10 +71,10 @@
 
     @params(signal.SIGKILL, signal.SIGTERM, signal.SIGINT)
     def test_children_end_with_the_harness(self, number):
-        """A daemon is left behind and answers the next test.
+        """A daemon must not keep running and answer the next test's requests.
 
-        Sequence: the process that started it is killed, which runs none of its
-        clean-up. Cause: a child lives on under another parent by default.
+        A harness that is killed runs no clean-up, and by default its children continue
+        under another parent.
         """
         source = HARNESS.format(command=SLEEPER, log=str(self.log))
         harness = subprocess.Popen(
@@ -100,7 +100,7 @@
         addresses = [block.address() for block in blocks for _ in range(20)]
         self.assertEqual(len(set(addresses)), 40)
 
-    def test_block_is_given_back(self):
+    def test_closing_a_block_releases_its_lock(self):
         before = len(os.listdir("/proc/self/fd"))
         block = PortBlock()
         block.start()
