--- a/packages/emulator/src/bronzepoint_emulator/soak/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/__init__.py
@@ -1,11 +1,11 @@
-"""Random faults over a deployment, with a checker of what callers saw."""
+"""Runs random faults on a deployment and checks what callers observed."""
 
 from bronzepoint_emulator.soak._checker import Violation, check
 from bronzepoint_emulator.soak._history import (
     CallEvent,
     CallKind,
+    CallOutcome,
     ChangeEvent,
-    Ending,
     FaultEvent,
     History,
     ViewEvent,
@@ -17,7 +17,7 @@
     "CallEvent",
     "CallKind",
     "ChangeEvent",
-    "Ending",
+    "CallOutcome",
     "Fault",
     "FaultEvent",
     "FaultKind",
--- a/packages/emulator/src/bronzepoint_emulator/soak/__main__.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bronzepoint_emulator.soak``: exit status 1 where a rule was broken."""
+"""``python -m bronzepoint_emulator.soak``: exit status 1 if a rule was violated."""
 
 import sys
 from pathlib import Path
@@ -15,18 +15,23 @@
 from bronzepoint_emulator.soak._run import SoakReport, run_soak
 
 MARGIN = 1.0
+"""Seconds before and after a violation for which events are printed."""
 SHOWN_EVENTS = 40
+"""Maximum number of surrounding events printed for a violation."""
 SHOWN_VIOLATIONS = 10
+"""Maximum number of violations printed."""
 
 
 def main(
-    seconds: Annotated[float, typer.Option(min=1.0, help="Seconds of faults.")] = 60.0,
-    seed: Annotated[int, typer.Option(help="Seed of the faults.")] = 1,
+    seconds: Annotated[
+        float, typer.Option(min=1.0, help="Duration of the faults in seconds.")
+    ] = 60.0,
+    seed: Annotated[int, typer.Option(help="Seed of the random choices.")] = 1,
     logs: Annotated[
         Path | None, typer.Option(help="Folder for the processes' logs.")
     ] = None,
 ) -> None:
-    """Break a deployment at random for a while and check what callers saw."""
+    """Inject random faults into a deployment and check what callers observed."""
     console = Console(width=140)
     report = run_soak(saphan(), seconds, seed, logs)
     show_report(console, report)
@@ -34,7 +39,7 @@
 
 
 def show_report(console: Console, report: SoakReport) -> None:
-    """Print the counts of a run and each violation with the history around it."""
+    """Print the counts of a run, and violations with surrounding events."""
     table = Table(title=f"seed {report.seed}, {report.seconds:g} s")
     table.add_column("what")
     table.add_column("count", justify="right")
@@ -45,7 +50,7 @@
     ):
         for name, count in sorted(counts.items()):
             table.add_row(f"{title}: {name}", str(count))
-    table.add_row("views looked at", str(report.views()))
+    table.add_row("views", str(report.views()))
     table.add_row("violations", str(len(report.violations)))
     console.print(table)
     for violation in report.violations[:SHOWN_VIOLATIONS]:
@@ -61,8 +66,8 @@
         return
     began = min(event.began for event in violation.events)
     ended = max(event.ended for event in violation.events)
-    console.print("Around it:")
-    for event in history.around(began, ended, MARGIN)[:SHOWN_EVENTS]:
+    console.print("Surrounding events:")
+    for event in history.overlapping(began, ended, MARGIN)[:SHOWN_EVENTS]:
         console.print(escape(f"  {event}"))
 
 
--- a/packages/emulator/src/bronzepoint_emulator/soak/_callers.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that ask, lose answers and send again."""
+"""Callers that send requests and resend some of them."""
 
 import http.client
 import random
@@ -8,26 +8,31 @@
 import msgspec
 
 from bronzepoint_emulator.deployment import Deployment, new_key, new_nonce
-from bronzepoint_emulator.soak._history import CallEvent, CallKind, Ending, History
+from bronzepoint_emulator.soak._history import CallEvent, CallKind, CallOutcome, History
 
 TIMEOUT = 8.0
+"""Seconds for each connect and read of a call."""
 PAUSE = (0.02, 0.2)
+"""Range of the pause between calls in seconds."""
 TOKENS = 6
-HOME_SHARE = 0.8
-"""Share of the calls that go to a host of the caller's own region."""
+"""Tokens of each model call's answer."""
+LOCAL_SHARE = 0.8
+"""Share of calls that go to a host of the caller's own region."""
 RESEND_SHARE = 0.7
-MOST_SENDS = 5
-LOST = (OSError, http.client.HTTPException, ValueError, KeyError, TypeError)
+"""Probability of sending a saved call again."""
+MAX_SENDS = 5
+"""Maximum number of times that a saved call is sent."""
+CALL_ERRORS = (OSError, http.client.HTTPException, ValueError, KeyError, TypeError)
 
 
 class Caller:
-    """One caller, in a thread of its own.
+    """One caller, run in its own thread.
 
     Args:
-        deployment: Where it calls.
-        history: Told of each call.
-        stop: Ends it.
-        seed: Seed of its choices.
+        deployment: Deployment to call.
+        history: Records each call.
+        stop: Event that ends the caller.
+        seed: Seed of its random choices.
     """
 
     def __init__(
@@ -43,7 +48,7 @@
         self._random = random.Random(seed)
 
     def run(self) -> None:
-        """Call until the run ends."""
+        """Send calls until the run ends."""
         while not self._stop.wait(self._random.uniform(*PAUSE)):
             kind = self._random.choice(list(CallKind))
             home = self._random.choice(self._deployment.layout.regions)
@@ -53,9 +58,9 @@
                 self._call(kind, home, new_nonce())
 
     def _save(self, home: str) -> None:
-        """Save a phrase; send it again with its key where that makes sense."""
+        """Save a phrase and randomly resend it with the same idempotency key."""
         nonce, key = new_nonce(), new_key()
-        for _ in range(MOST_SENDS):
+        for _ in range(MAX_SENDS):
             self._call(CallKind.save, home, nonce, key)
             if self._random.random() > RESEND_SHARE:
                 return
@@ -64,8 +69,8 @@
 
     def _host(self, home: str) -> str:
         layout = self._deployment.layout
-        near = self._random.random() < HOME_SHARE
-        hosts = layout.region_hosts(home) if near else layout.hosts
+        local = self._random.random() < LOCAL_SHARE
+        hosts = layout.region_hosts(home) if local else layout.hosts
         return self._random.choice(hosts).name
 
     def _call(self, kind: CallKind, home: str, nonce: str, key: str = "") -> None:
@@ -78,12 +83,12 @@
             kind=kind,
             nonce=nonce,
             key=key,
-            ending=Ending.lost,
+            outcome=CallOutcome.lost,
         )
         try:
             self._send(event)
-        except LOST as exc:
-            event.ending = Ending.lost
+        except CALL_ERRORS as exc:
+            event.outcome = CallOutcome.lost
             event.error = repr(exc)
         event.ended = self._history.now()
         self._history.add(event)
@@ -97,23 +102,23 @@
             event.status = answer.status
             event.request_id = answer.request_id
             if answer.status != 200:
-                _take_refusal(event, answer.read())
+                _record_refusal(event, answer.read())
             elif event.kind is CallKind.save:
                 event.body = answer.read()
                 event.echo = msgspec.json.decode(event.body)["echo"]
                 event.whole = True
-                event.ending = Ending.answered
+                event.outcome = CallOutcome.answered
             else:
-                _take_stream(event, list(answer.events()))
-                event.ending = Ending.answered
+                _record_stream(event, list(answer.events()))
+                event.outcome = CallOutcome.answered
 
 
 def _request(event: CallEvent) -> tuple[str, str, dict[str, Any]]:
     if event.kind is CallKind.save:
         return "POST", "/v1/services/phrases/saved", {"nonce": event.nonce}
-    entry = "clinic" if event.kind is CallKind.clinic else "phrasebook"
+    model = "clinic" if event.kind is CallKind.clinic else "phrasebook"
     body = {
-        "model": entry,
+        "model": model,
         "messages": [{"role": "user", "content": f"please translate {event.nonce}"}],
         "max_tokens": TOKENS,
         "stream": True,
@@ -121,19 +126,19 @@
     return "POST", "/v1/chat/completions", body
 
 
-def _take_refusal(event: CallEvent, body: bytes) -> None:
-    event.ending = Ending.refused
+def _record_refusal(event: CallEvent, body: bytes) -> None:
+    event.outcome = CallOutcome.refused
     refusal = msgspec.json.decode(body)["error"]
     if isinstance(refusal, str):
-        # The target's own answer, which the gateway passed on.
+        # An error of the target, passed on by the gateway.
         event.refusal = f"target_{refusal}"
         return
     event.refusal = refusal["kind"]
     event.ran = refusal["ran"]
 
 
-def _take_stream(event: CallEvent, events: list[str]) -> None:
-    """Note what a stream that ended in an orderly way brought."""
+def _record_stream(event: CallEvent, events: list[str]) -> None:
+    """Record the content of a stream that ended without an error."""
     texts = [
         msgspec.json.decode(data)["choices"][0]["delta"]["content"]
         for data in events
--- a/packages/emulator/src/bronzepoint_emulator/soak/_faults.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Brings the faults of a schedule about, and takes them away again."""
+"""Injects the faults of a schedule and ends them."""
 
 import threading
 from typing import Any
@@ -13,6 +13,7 @@
 )
 
 TERMINATE_TIMEOUT = 60.0
+"""Seconds that a daemon gets to exit after SIGTERM."""
 NO_FAULTS: dict[str, Any] = {
     "slow": 1.0,
     "refuse": False,
@@ -28,13 +29,13 @@
 
 
 class FaultDriver:
-    """Runs a schedule on a deployment.
+    """Runs a schedule of faults on a deployment.
 
     Args:
-        deployment: What is broken; its links are behind the fault proxy.
-        schedule: What happens when.
-        history: Told of each fault.
-        stop: Ends the run early.
+        deployment: Deployment with its links behind the fault proxy.
+        schedule: Faults and their times.
+        history: Records each fault when it ends.
+        stop: Event that ends the run early.
     """
 
     def __init__(
@@ -53,15 +54,15 @@
         self._steps = sorted(steps, key=lambda step: (step[0], step[1]))
 
     def run(self, seconds: float) -> None:
-        """Bring faults about until the time is over or ``stop`` is set."""
+        """Inject faults for a time (s) or until ``stop`` is set."""
         for at, begins, fault in self._steps:
             if at > seconds or self._stop.wait(max(0.0, at - self._history.now())):
                 break
             self._begin(fault) if begins else self._end(fault)
         self._stop.wait(max(0.0, seconds - self._history.now()))
 
-    def end_all(self) -> None:
-        """Take away every fault that is still there."""
+    def clear_all(self) -> None:
+        """End all active faults."""
         for fault in list(self._active):
             self._end(fault)
 
@@ -103,7 +104,7 @@
         self._history.add(event)
 
     def _set_target(self, target: str) -> None:
-        """Give a target the faults that are active on it, together."""
+        """Set a target's faults to the union of those active on it."""
         faults = dict(NO_FAULTS)
         for fault in self._active:
             if fault.subject == target and fault.kind in TARGET_FAULTS:
@@ -111,10 +112,10 @@
         self._deployment.set_faults(target, **faults)
 
     def _set_links(self) -> None:
-        """Give the links the cuts that are active, together.
+        """Set the links' faults to the union of the active partitions.
 
-        Healing one of two overlapping cuts must not heal the other; so all are taken
-        away and those that remain are made again.
+        Ending one of two overlapping partitions must not end the other, so all are
+        cleared and the active ones set again.
         """
         deployment = self._deployment
         deployment.heal()
--- a/packages/emulator/src/bronzepoint_emulator/soak/_history.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/_history.py
@@ -1,4 +1,4 @@
-"""What happened during a run, as those outside the system saw it."""
+"""Events of a run, as observed from outside the system."""
 
 import threading
 import time
@@ -12,49 +12,49 @@
 
 
 class CallKind(StrEnum):
-    """What a caller asked for."""
+    """Kind of a call."""
 
     chat = "chat"
-    """A model call that may go anywhere."""
+    """A model call that any region may serve."""
     clinic = "clinic"
-    """A model call that must stay in its home region."""
+    """A model call restricted to the caller's home region."""
     save = "save"
-    """A non-idempotent service call that must stay in its home region."""
+    """A non-idempotent service call restricted to the caller's home region."""
 
 
-class Ending(StrEnum):
-    """How a call or change ended for the one who sent it."""
+class CallOutcome(StrEnum):
+    """Result of a call or change, as seen by its sender."""
 
     answered = "answered"
     refused = "refused"
     lost = "lost"
-    """No answer, or a cut one: it may have run."""
+    """No answer or a truncated one; the request may have run."""
 
 
 class Event(Struct, kw_only=True):
-    """Something that began and ended, in seconds after the start of the run."""
+    """An event with its start and end, in seconds after the start of the run."""
 
     began: float
     ended: float
 
 
 class CallEvent(Event, kw_only=True):
-    """One try of a caller.
+    """One attempt of a caller.
 
     Attributes:
         home: The caller's region.
-        nonce: What the answer must echo.
-        ran: What a refusal says of the run: no or unknown.
-        echo: What the answer echoed.
-        whole: Whether the answer had every part that was asked for.
-        body: Body of a saved call's answer.
+        nonce: Nonce that the answer must echo.
+        ran: Whether the request ran according to its refusal: no or unknown.
+        echo: Nonce that the answer echoed.
+        whole: Whether the answer was complete.
+        body: Body of the answer to a saved call.
     """
 
     host: str
     home: str
     kind: CallKind
     nonce: str
-    ending: Ending
+    outcome: CallOutcome
     key: str = ""
     request_id: str = ""
     status: int = 0
@@ -67,10 +67,10 @@
 
 
 class ChangeEvent(Event, kw_only=True):
-    """One try of an operator to change the contested item.
+    """One attempt of an operator to change the contested item.
 
     Attributes:
-        value: Number that only this change sets.
+        value: Value that is unique to this change.
         revision: Revision at which it was accepted.
     """
 
@@ -79,14 +79,14 @@
     change_id: str
     version: int
     value: int
-    ending: Ending
+    outcome: CallOutcome
     status: int = 0
     revision: int = 0
     error: str = ""
 
 
 class ViewEvent(Event, kw_only=True):
-    """What a host that says it is ready shows of the contested item."""
+    """The contested item as shown by a host that reports ready."""
 
     host: str
     revision: int
@@ -95,13 +95,13 @@
 
 
 class FaultEvent(Event, kw_only=True):
-    """A fault that was brought about, until it was taken away."""
+    """A fault, from its injection until it was ended."""
 
     what: str
 
 
 class History:
-    """Collects events from all threads of a run."""
+    """Collects the events of all threads of a run."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -113,18 +113,18 @@
         return time.monotonic() - self._start
 
     def add(self, event: Event) -> None:
-        """Add an event that has ended."""
+        """Add a completed event."""
         with self._lock:
             self.events.append(event)
 
     def of(self, kind: type[E]) -> Iterator[E]:
-        """Yield the events of one kind, in the order in which they ended."""
+        """Yield the events of one kind, ordered by their end."""
         for event in self.events:
             if isinstance(event, kind):
                 yield event
 
-    def around(self, began: float, ended: float, margin: float) -> list[Event]:
-        """Return what overlaps a time with a margin, in the order of beginning."""
+    def overlapping(self, began: float, ended: float, margin: float) -> list[Event]:
+        """Return the events that overlap an interval, ordered by their start."""
         near = [
             event
             for event in self.events
@@ -134,14 +134,14 @@
 
 
 class FinalState(Struct):
-    """What is there after every fault was taken away.
+    """State after all faults were ended.
 
     Attributes:
         runs: Runs by target and nonce.
         target_regions: Region of each target.
         versions: Version of the contested item by host.
         values: Its value by host.
-        unsettled: Hosts that didn't become ready again or disagree, and how.
+        unsettled: Descriptions of hosts that did not recover or disagree.
     """
 
     runs: dict[str, dict[str, int]] = field(default_factory=dict)
@@ -151,7 +151,7 @@
     unsettled: list[str] = field(default_factory=list)
 
     def runs_of(self, nonce: str) -> dict[str, int]:
-        """Return how often each target ran the request with a nonce."""
+        """Return how often each target ran requests with a nonce."""
         return {
             target: nonces[nonce]
             for target, nonces in self.runs.items()
--- a/packages/emulator/src/bronzepoint_emulator/soak/_operators.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/_operators.py
@@ -1,4 +1,4 @@
-"""Operators that race each other for one item, and lose answers."""
+"""Operators that concurrently change one item, and observers of it."""
 
 import random
 import threading
@@ -7,40 +7,47 @@
 import msgspec
 
 from bronzepoint_emulator.deployment import Deployment
-from bronzepoint_emulator.soak._callers import LOST
+from bronzepoint_emulator.soak._callers import CALL_ERRORS
 from bronzepoint_emulator.soak._history import (
+    CallOutcome,
     ChangeEvent,
-    Ending,
     History,
     ViewEvent,
 )
 from bronzepoint_schema.generated.catalogue import ModelEntry
 
-CONTESTED = "tour-notes"
-ITEM_PATH = f"/v1/admin/catalogue/model/{CONTESTED}"
+CONTESTED_ITEM = "tour-notes"
+"""Catalogue entry that all operators change."""
+ITEM_PATH = f"/v1/admin/catalogue/model/{CONTESTED_ITEM}"
 TIMEOUT = 5.0
+"""Seconds for each connect and read of an operator's request."""
 PAUSE = (0.1, 0.6)
+"""Range of the pause between changes in seconds."""
 VIEW_PAUSE = 0.2
+"""Seconds between two observations of a host."""
 VIEW_TIMEOUT = 2.0
-MOST_SENDS = 6
+"""Seconds for each connect and read of an observation."""
+MAX_SENDS = 6
+"""Maximum number of times that a change is sent."""
 RESEND_SHARE = 0.3
-"""Share of answered changes that are sent once more."""
+"""Probability that an answered change is sent again."""
 VALUES_PER_OPERATOR = 1_000_000
+"""Size of the range of values that each operator uses."""
 
 
-class RacingOperator:
-    """One operator, in a thread of its own.
+class CompetingOperator:
+    """One operator, run in its own thread.
 
-    Every change sets the item's worth to a number of its own, so that what a host
-    shows tells whose change it is.
+    Each change sets the item's worth to a unique number, so that the value that a host
+    shows identifies the change.
 
     Args:
-        deployment: Where it sends changes.
-        history: Told of each try.
-        stop: Ends it.
-        name: The operator's name.
-        number: Which operator it is, from 0.
-        seed: Seed of its choices.
+        deployment: Deployment to send changes to.
+        history: Records each attempt.
+        stop: Event that ends the operator.
+        name: Name of the operator.
+        number: Index of the operator, from 0.
+        seed: Seed of its random choices.
     """
 
     def __init__(
@@ -75,7 +82,7 @@
         try:
             reply = client.get(ITEM_PATH)
             return msgspec.convert(reply.json()["item"], type=ModelEntry)
-        except (*LOST, msgspec.ValidationError):
+        except (*CALL_ERRORS, msgspec.ValidationError):
             return None
 
     def _change(self, item: ModelEntry) -> None:
@@ -85,15 +92,15 @@
             item, version=item.version + 1, worth=float(self._value)
         )
         body = operator.put_body(changed)
-        for _ in range(MOST_SENDS):
-            ending = self._send(body)
-            again = self._random.random() < RESEND_SHARE
-            if ending is not Ending.lost and not again:
+        for _ in range(MAX_SENDS):
+            outcome = self._send(body)
+            resend = self._random.random() < RESEND_SHARE
+            if outcome is not CallOutcome.lost and not resend:
                 return
             if self._stop.wait(self._random.uniform(*PAUSE)):
                 return
 
-    def _send(self, body: dict[str, Any]) -> Ending:
+    def _send(self, body: dict[str, Any]) -> CallOutcome:
         host = self._host()
         event = ChangeEvent(
             began=self._history.now(),
@@ -103,34 +110,34 @@
             change_id=body["change_id"],
             version=body["version"],
             value=self._value,
-            ending=Ending.lost,
+            outcome=CallOutcome.lost,
         )
         operator = self._deployment.operator(host, self._name)
         operator.client.timeout = TIMEOUT
         try:
             reply = operator.try_change(body)
             event.status = reply.status
-            _take_answer(event, reply.json())
-        except LOST as exc:
+            _record_answer(event, reply.json())
+        except CALL_ERRORS as exc:
             event.error = repr(exc)
         event.ended = self._history.now()
         self._history.add(event)
-        return event.ending
+        return event.outcome
 
 
-def _take_answer(event: ChangeEvent, answer: dict[str, Any]) -> None:
+def _record_answer(event: ChangeEvent, answer: dict[str, Any]) -> None:
     if event.status == 200:
-        event.ending = Ending.answered
+        event.outcome = CallOutcome.answered
         event.revision = answer["revision"]
         return
     event.error = answer["error"]["message"]
-    # An answer without a quorum leaves open whether the change is accepted later.
+    # After an answer for lack of a quorum, the change may still be accepted later.
     if event.status == 409:
-        event.ending = Ending.refused
+        event.outcome = CallOutcome.refused
 
 
 class Observer:
-    """Watches what one host shows of the contested item, in a thread of its own."""
+    """Polls one host for the contested item, in its own thread."""
 
     def __init__(
         self,
@@ -146,12 +153,12 @@
         self._host = host
 
     def run(self) -> None:
-        """Look until the run ends."""
+        """Poll until the run ends."""
         while not self._stop.wait(VIEW_PAUSE):
-            self.look()
+            self.observe()
 
-    def look(self) -> ViewEvent | None:
-        """Note what the host shows; None where it doesn't answer or isn't ready."""
+    def observe(self) -> ViewEvent | None:
+        """Record the host's view; None if it does not answer or is not ready."""
         began = self._history.now()
         client = self._operator.client
         try:
@@ -166,7 +173,7 @@
                 version=reply["item"]["version"],
                 value=round(reply["item"]["worth"]),
             )
-        except LOST:
+        except CALL_ERRORS:
             return None
         self._history.add(event)
         return event
--- a/packages/emulator/src/bronzepoint_emulator/soak/_run.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run: a deployment, its callers and operators, and the faults."""
+"""Runs callers, operators and faults on a deployment."""
 
 import shutil
 import threading
@@ -14,7 +14,7 @@
     Layout,
     wait_until,
 )
-from bronzepoint_emulator.soak._callers import LOST, Caller
+from bronzepoint_emulator.soak._callers import CALL_ERRORS, Caller
 from bronzepoint_emulator.soak._checker import Violation, check
 from bronzepoint_emulator.soak._faults import FaultDriver
 from bronzepoint_emulator.soak._history import (
@@ -25,16 +25,18 @@
     History,
     ViewEvent,
 )
-from bronzepoint_emulator.soak._operators import Observer, RacingOperator
+from bronzepoint_emulator.soak._operators import CompetingOperator, Observer
 from bronzepoint_emulator.soak._schedule import Fault, draw_schedule
 from bronzepoint_emulator.soak._worker_threads import Worker, WorkerThreads
 
 CALLERS = 6
-SETTLE_TIMEOUT = 60.0
+"""Number of concurrent callers."""
+RECOVERY_TIMEOUT = 60.0
+"""Seconds for all hosts to become ready and agree after the faults."""
 
 
 class SoakReport(Struct):
-    """What a run did and found."""
+    """Events and violations of a run."""
 
     seed: int
     seconds: float
@@ -44,39 +46,39 @@
     violations: list[Violation]
 
     def faults(self) -> Counter[str]:
-        """Return how often each kind of fault was brought about."""
+        """Return the number of faults by kind."""
         events = self.history.of(FaultEvent)
         return Counter(event.what.split()[0] for event in events)
 
     def calls(self) -> Counter[str]:
-        """Return the calls by kind and ending, refusals by their kind."""
+        """Return the number of calls by kind and outcome or kind of refusal."""
         return Counter(
-            f"{call.kind} {call.refusal or call.ending}"
+            f"{call.kind} {call.refusal or call.outcome}"
             for call in self.history.of(CallEvent)
         )
 
     def changes(self) -> Counter[str]:
-        """Return the operators' tries by their ending."""
-        return Counter(str(c.ending) for c in self.history.of(ChangeEvent))
+        """Return the number of operators' attempts by outcome."""
+        return Counter(str(c.outcome) for c in self.history.of(ChangeEvent))
 
     def views(self) -> int:
-        """Return how often a host's view was looked at."""
+        """Return the number of observations."""
         return sum(1 for _ in self.history.of(ViewEvent))
 
 
 def run_soak(
     layout: Layout, seconds: float, seed: int, logs: Path | None = None
 ) -> SoakReport:
-    """Run faults and load over a deployment, then check the history.
+    """Run faults and load on a deployment, then check the history.
 
-    The seed gives the schedule of the faults and each worker's choices; how they
-    interleave is up to the machine.
+    The seed determines the schedule of faults and each worker's choices, but not how
+    the threads and processes interleave.
 
     Args:
-        layout: What runs.
-        seconds: For how long faults come.
-        seed: Seed of everything that is drawn.
-        logs: Folder that the processes' logs are copied to in the end.
+        layout: The deployment.
+        seconds: Duration of the faults.
+        seed: Seed of all random choices.
+        logs: Folder to copy the processes' logs to.
     """
     schedule = draw_schedule(layout, seconds, seed)
     with Deployment(layout, proxied=True) as deployment:
@@ -90,8 +92,8 @@
         finally:
             stop.set()
         failures = threads.close()
-        driver.end_all()
-        final = _settle(deployment, history)
+        driver.clear_all()
+        final = _collect_final_state(deployment, history)
         final.unsettled += failures
         if logs is not None:
             _copy_logs(deployment, logs)
@@ -113,7 +115,7 @@
         for number in range(CALLERS)
     ]
     operators = [
-        RacingOperator(
+        CompetingOperator(
             deployment, history, stop, spec.name, number, f"{seed} operator {number}"
         )
         for number, spec in enumerate(deployment.layout.operators)
@@ -124,15 +126,15 @@
     return [*callers, *operators, *observers]
 
 
-def _settle(deployment: Deployment, history: History) -> FinalState:
-    """Wait until the hosts agree again and collect what is left."""
+def _collect_final_state(deployment: Deployment, history: History) -> FinalState:
+    """Wait until all hosts are ready and agree; return the final state."""
     final = FinalState()
     observers = {
         host: Observer(deployment, history, threading.Event(), host)
         for host in deployment.host_names()
     }
     try:
-        wait_until(_agree(observers, final), "all hosts show the same", SETTLE_TIMEOUT)
+        wait_until(_agree(observers, final), "all hosts agree", RECOVERY_TIMEOUT)
     except DeploymentError as exc:
         final.unsettled.append(str(exc))
         final.unsettled += _statuses(deployment)
@@ -146,12 +148,12 @@
 
 
 def _statuses(deployment: Deployment) -> list[str]:
-    """Return what each host says of itself, to see who is stuck and how."""
+    """Return the status of each host, to diagnose those that did not recover."""
     lines = []
     for host in deployment.host_names():
         try:
             lines.append(f"{host}: {deployment.operator(host).status()}")
-        except (*LOST, DeploymentError) as exc:
+        except (*CALL_ERRORS, DeploymentError) as exc:
             ended = deployment.process(host).exit_status
             lines.append(f"{host}: {exc!r}, exit status {ended}")
     return lines
@@ -160,7 +162,7 @@
 def _agree(observers: dict[str, Observer], final: FinalState) -> Callable[[], bool]:
     def agree() -> bool:
         for host, observer in observers.items():
-            view = observer.look()
+            view = observer.observe()
             if view is None:
                 raise DeploymentError(f"{host} is not ready")
             final.versions[host] = view.version
--- a/packages/emulator/src/bronzepoint_emulator/soak/_schedule.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/_schedule.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed: the same seed gives the same schedule."""
+"""Random schedules of faults, reproducible from a seed."""
 
 import random
 from enum import StrEnum
@@ -7,16 +7,16 @@
 
 from bronzepoint_emulator.deployment import Layout
 
-MEAN_GAP = 1.2
-"""Seconds between the beginnings of two faults, on average."""
-SHORTEST, LONGEST = 1.0, 6.0
-"""Seconds that a fault lasts; the longest is several leases."""
-WIPE_EVERY = 45.0
-"""Seconds between two wiped disks: the first must have been repaired."""
+MEAN_INTERVAL = 1.2
+"""Mean time between the starts of faults in seconds."""
+MIN_DURATION, MAX_DURATION = 1.0, 6.0
+"""Range of a fault's duration in seconds; the upper bound spans several leases."""
+MIN_WIPE_INTERVAL = 45.0
+"""Minimum seconds between two wiped disks, so that the first is repaired by then."""
 
 
 class FaultKind(StrEnum):
-    """What is broken."""
+    """Kind of a fault."""
 
     kill = "kill"
     freeze = "freeze"
@@ -47,7 +47,7 @@
 
 
 class Fault(Struct, frozen=True):
-    """One fault, from a moment until another, in seconds after the start."""
+    """One fault, with its start and end in seconds after the start of the run."""
 
     at: float
     until: float
@@ -61,31 +61,31 @@
 
 
 def draw_schedule(layout: Layout, seconds: float, seed: int) -> list[Fault]:
-    """Draw the faults of a run.
+    """Draw a random schedule of faults.
 
-    They overlap as they come, but for two rules: a process that is down or frozen is
-    not hit again before it is back, and a second disk is wiped only after the first
-    could have been repaired. Two lost disks of three that hold a change is more than
-    any agreement stands.
+    Faults may overlap, with two exceptions. A process that is down or suspended gets no
+    other process fault until it is back. A disk is wiped only after the last wiped one
+    could be repaired: losing two of the three disks that hold a change exceeds what a
+    majority protocol tolerates.
     """
     rng = random.Random(seed)
     faults: list[Fault] = []
-    busy: dict[str, float] = {}
+    busy_until: dict[str, float] = {}
     next_wipe = 0.0
-    at = rng.expovariate(1 / MEAN_GAP)
+    at = rng.expovariate(1 / MEAN_INTERVAL)
     while at < seconds:
-        until = at + rng.uniform(SHORTEST, LONGEST)
+        until = at + rng.uniform(MIN_DURATION, MAX_DURATION)
         kind = rng.choice(list(FaultKind))
         fault = _draw(rng, layout, kind, at, until)
-        at += rng.expovariate(1 / MEAN_GAP)
-        if kind in PROCESS_FAULTS and busy.get(fault.subject, 0.0) > fault.at:
+        at += rng.expovariate(1 / MEAN_INTERVAL)
+        if kind in PROCESS_FAULTS and busy_until.get(fault.subject, 0.0) > fault.at:
             continue
         if kind is FaultKind.wipe and fault.at < next_wipe:
             continue
         if kind in PROCESS_FAULTS:
-            busy[fault.subject] = until
+            busy_until[fault.subject] = until
         if kind is FaultKind.wipe:
-            next_wipe = until + WIPE_EVERY
+            next_wipe = until + MIN_WIPE_INTERVAL
         faults.append(fault)
     return faults
 
--- a/packages/emulator/src/bronzepoint_emulator/soak/_worker_threads.py
+++ b/packages/emulator/src/bronzepoint_emulator/soak/_worker_threads.py
@@ -1,26 +1,27 @@
-"""The threads that call, change and watch during a run."""
+"""Threads that run the callers, operators and observers."""
 
 import threading
 from typing import Protocol
 
 JOIN_TIMEOUT = 30.0
+"""Seconds to wait for each thread to end."""
 
 
 class Worker(Protocol):
-    """Something that runs until it is told to stop."""
+    """A task that runs until its stop event is set."""
 
     def run(self) -> None:
-        """Run to the end."""
+        """Run until stopped."""
 
 
 class WorkerThreads:
-    """Runs workers in a thread each, and tells which of them failed.
+    """Runs each worker in a thread and reports those that fail.
 
-    A worker that fails ends alone and the run goes on without it. Unless that is told,
-    a run that checked little looks as good as one that checked everything.
+    The run continues without a worker that fails. Its failure must be reported, because
+    a run that checked little would otherwise look the same as a complete one.
 
     Args:
-        workers: What runs.
+        workers: Tasks to run.
     """
 
     def __init__(self, workers: list[Worker]) -> None:
@@ -36,15 +37,15 @@
             thread.start()
 
     def close(self) -> list[str]:
-        """Wait for the threads, which have been told to stop.
+        """Wait for the threads; their stop event must be set.
 
         Returns:
-            Failures, in words.
+            Descriptions of failures.
         """
         for thread in self._threads:
             thread.join(JOIN_TIMEOUT)
-        late = [thread.name for thread in self._threads if thread.is_alive()]
-        return [*self._failures, *[f"worker {name} did not end" for name in late]]
+        unfinished = [thread.name for thread in self._threads if thread.is_alive()]
+        return [*self._failures, *[f"worker {name} did not end" for name in unfinished]]
 
     def _run(self, worker: Worker) -> None:
         try:
--- a/tests/test_emulator_checker.py
+++ b/tests/test_emulator_checker.py
@@ -1,4 +1,4 @@
-"""The soak's checker finds each kind of violation, and its schedules repeat."""
+"""The soak test's checker detects violations; schedules are reproducible."""
 
 import unittest
 
@@ -8,8 +8,8 @@
 from bronzepoint_emulator.soak import (
     CallEvent,
     CallKind,
+    CallOutcome,
     ChangeEvent,
-    Ending,
     FaultKind,
     History,
     ViewEvent,
@@ -20,8 +20,8 @@
 from bronzepoint_emulator.soak._worker_threads import WorkerThreads
 
 NONCE = "n1"
-SERVICE, AWAY = "bkk-phrases", "sgp-phrases"
-REGIONS = {SERVICE: "bkk", AWAY: "sgp"}
+SERVICE, REMOTE = "bkk-phrases", "sgp-phrases"
+REGIONS = {SERVICE: "bkk", REMOTE: "sgp"}
 ONCE = {SERVICE: {NONCE: 1}}
 
 
@@ -34,7 +34,7 @@
         "kind": CallKind.save,
         "nonce": NONCE,
         "key": "k1",
-        "ending": Ending.answered,
+        "outcome": CallOutcome.answered,
         "echo": NONCE,
         "whole": True,
         "body": b"1",
@@ -43,7 +43,7 @@
 
 
 def refused(ran):
-    return call(ending=Ending.refused, ran=ran, echo="", whole=False)
+    return call(outcome=CallOutcome.refused, ran=ran, echo="", whole=False)
 
 
 def change(**fields):
@@ -55,7 +55,7 @@
         "change_id": "c1",
         "version": 2,
         "value": 7,
-        "ending": Ending.answered,
+        "outcome": CallOutcome.answered,
         "revision": 9,
     }
     return ChangeEvent(**(values | fields))
@@ -89,17 +89,17 @@
 class CheckerTest(unittest.TestCase):
     @params(
         ([call()], ONCE, []),
-        ([call(ending=Ending.lost), call()], ONCE, []),
+        ([call(outcome=CallOutcome.lost), call()], ONCE, []),
         ([refused("unknown")], ONCE, []),
         ([refused("no")], {}, []),
         ([call()], {SERVICE: {NONCE: 2}}, ["at most once"]),
-        ([call(ending=Ending.lost)] * 2, {SERVICE: {NONCE: 2}}, ["at most once"]),
-        ([call()], {}, ["answers come from a run"]),
-        ([refused("no")], ONCE, ["refusals are true"]),
-        ([call()], {AWAY: {NONCE: 1}}, ["residency holds"]),
-        ([call(kind=CallKind.chat, key="")], {AWAY: {NONCE: 1}}, []),
-        ([call(echo="n2")], ONCE, ["answers go to their own callers"]),
-        ([call(whole=False)], ONCE, ["answers are whole"]),
+        ([call(outcome=CallOutcome.lost)] * 2, {SERVICE: {NONCE: 2}}, ["at most once"]),
+        ([call()], {}, ["answered requests ran"]),
+        ([refused("no")], ONCE, ["refusals are accurate"]),
+        ([call()], {REMOTE: {NONCE: 1}}, ["residency holds"]),
+        ([call(kind=CallKind.chat, key="")], {REMOTE: {NONCE: 1}}, []),
+        ([call(echo="n2")], ONCE, ["answers match their requests"]),
+        ([call(whole=False)], ONCE, ["answers are complete"]),
         ([call(), call(body=b"2")], ONCE, ["a key has one answer"]),
     )
     def test_calls(self, events, runs, rules):
@@ -109,10 +109,10 @@
         ([change(), change()], {"a": 2}, {"a": 7}, []),
         ([change(), change(revision=10)], {}, {}, ["a change is applied once"]),
         (
-            [change(), change(ending=Ending.refused)],
+            [change(), change(outcome=CallOutcome.refused)],
             {},
             {},
-            ["a change is answered as at first"],
+            ["a change is answered consistently"],
         ),
         (
             [change(), change(change_id="c2", value=8)],
@@ -123,9 +123,14 @@
         ([change()], {"a": 1}, {"a": 5}, ["accepted changes are never lost"]),
         ([change()], {"a": 2}, {"a": 5}, ["accepted changes are never lost"]),
         ([change()], {"a": 3}, {"a": 5}, []),
-        ([change(ending=Ending.lost)], {"a": 1}, {"a": 5}, []),
-        ([change(), view(value=8)], {}, {}, ["hosts show what was accepted"]),
-        ([view(), view(host="sgp-1", value=8)], {}, {}, ["hosts show the same"]),
+        ([change(outcome=CallOutcome.lost)], {"a": 1}, {"a": 5}, []),
+        ([change(), view(value=8)], {}, {}, ["hosts show accepted changes"]),
+        (
+            [view(), view(host="sgp-1", value=8)],
+            {},
+            {},
+            ["hosts agree on each version"],
+        ),
         (
             [view(), view(revision=8, version=1, value=6)],
             {},
@@ -139,30 +144,30 @@
 
 
 class WorkerThreadsTest(unittest.TestCase):
-    def test_failed_worker_is_told(self):
-        """A run with most of its callers gone is reported as clean."""
+    def test_failed_worker_is_reported(self):
+        """Guards against a run whose callers failed being reported as clean."""
 
         class Failing:
             def run(self):
                 raise KeyError("kind")
 
-        class Ending:
+        class Finishing:
             def run(self):
                 return
 
-        threads = WorkerThreads([Failing(), Ending()])
+        threads = WorkerThreads([Failing(), Finishing()])
         threads.start()
         self.assertEqual(threads.close(), ["worker Failing failed: KeyError('kind')"])
 
 
 class ScheduleTest(unittest.TestCase):
-    def test_seed_repeats_the_schedule(self):
+    def test_same_seed_gives_the_same_schedule(self):
         layout = saphan()
         first = draw_schedule(layout, 60.0, 5)
         self.assertEqual(first, draw_schedule(layout, 60.0, 5))
         self.assertNotEqual(first, draw_schedule(layout, 60.0, 6))
 
-    def test_one_disk_is_wiped_at_a_time(self):
+    def test_disk_is_wiped_only_after_repair_of_the_last(self):
         faults = draw_schedule(saphan(), 600.0, 1)
         wipes = [fault for fault in faults if fault.kind is FaultKind.wipe]
         self.assertGreater(len(wipes), 1)
--- a/tests/test_emulator_soak.py
+++ b/tests/test_emulator_soak.py
@@ -8,12 +8,13 @@
 from bronzepoint_emulator.soak import run_soak
 
 SECONDS = 12.0
+"""Duration of the faults in seconds."""
 
 
 class SoakTest(unittest.TestCase):
     @params(1)
     def test_nothing_is_violated(self, seed):
-        """Whatever breaks, together or twice, what callers saw keeps to the rules."""
+        """Callers observe no violation under overlapping random faults."""
         report = run_soak(saphan(), SECONDS, seed)
         self.assertEqual(report.violations, [])
         self.assertGreater(sum(report.faults().values()), 3)
