--- a/packages/emulator/src/bronzepoint_emulator/bench/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/bench/__init__.py
@@ -1,1 +1,1 @@
-"""What a host costs: processor time for each request and each relayed event."""
+"""Benchmarks of a host's processor time per request and per relayed event."""
--- a/packages/emulator/src/bronzepoint_emulator/bench/_layout.py
+++ b/packages/emulator/src/bronzepoint_emulator/bench/_layout.py
@@ -1,4 +1,4 @@
-"""One host before two engines that cost next to nothing."""
+"""Layout with one host and two engines that use little processor time."""
 
 from bronzepoint_emulator.deployment import (
     CallerSpec,
@@ -26,23 +26,26 @@
 )
 
 REGION = RegionName("one")
-ROOM = DataCenterName("one-a")
+DATA_CENTER = DataCenterName("one-a")
 OWNER = OwnerName("bench")
 TOKEN = "bench-caller"
 STREAMS = EntryName("streams")
 SHORT = EntryName("short")
 SLOTS = 256
+"""Slots of each engine."""
 STREAM_STEP = 0.04
+"""Seconds per token of streamed answers."""
 SHORT_STEP = 0.001
+"""Seconds per token of short answers."""
 _STEPS = {STREAMS: STREAM_STEP, SHORT: SHORT_STEP}
 
 
 def overhead_layout() -> Layout:
-    """Return the deployment that overhead is measured on."""
+    """Return the layout of the overhead benchmark."""
     return Layout(
         name="overhead",
         regions=[REGION],
-        hosts=[HostSpec(HostName("one-1"), REGION, ROOM, voter=True)],
+        hosts=[HostSpec(HostName("one-1"), REGION, DATA_CENTER, voter=True)],
         engines=[_engine(entry, step) for entry, step in _STEPS.items()],
         services=[],
         callers=[CallerSpec(CallerName("bench"), TOKEN, OWNER, REGION)],
@@ -52,7 +55,7 @@
 
 
 def engine_of(entry: EntryName) -> TargetName:
-    """Return the engine that serves an entry."""
+    """Return the name of the engine that serves an entry."""
     return TargetName(f"{entry}-engine")
 
 
@@ -60,7 +63,7 @@
     return EngineSpec(
         engine_of(entry),
         REGION,
-        ROOM,
+        DATA_CENTER,
         slots=SLOTS,
         queue=SLOTS,
         token_time=step,
@@ -74,7 +77,7 @@
     items: list[ModelEntry | ServiceEntry] = []
     for entry in _STEPS:
         name = engine_of(entry)
-        target = Target(name, REGION, ROOM, addresses.target(name), slots=SLOTS)
+        target = Target(name, REGION, DATA_CENTER, addresses.target(name), slots=SLOTS)
         items.append(
             ModelEntry(entry, OWNER, version=1, deadline=30.0, targets=[target])
         )
--- a/packages/emulator/src/bronzepoint_emulator/bench/_load.py
+++ b/packages/emulator/src/bronzepoint_emulator/bench/_load.py
@@ -1,4 +1,4 @@
-"""Many callers at once, over kept connections."""
+"""Load generator with many concurrent callers over persistent connections."""
 
 import time
 
@@ -12,16 +12,17 @@
 
 CHAT = "/v1/chat/completions"
 TIMEOUT = 60.0
+"""Seconds for each request."""
 EVENT_END = b"\n\n"
 
 
 class Load(Struct):
-    """What one phase asks for.
+    """The load of one phase.
 
     Attributes:
-        callers: Requests in progress at once.
-        requests: Requests of each caller, one after another.
-        tokens: Tokens of each answer.
+        callers: Number of concurrent callers.
+        requests: Number of sequential requests per caller.
+        tokens: Number of tokens per answer.
     """
 
     entry: EntryName
@@ -32,7 +33,7 @@
 
 
 class Observed(Struct):
-    """What the callers saw.
+    """Measurements of the callers.
 
     Attributes:
         first: Seconds to the first byte of each answer.
@@ -49,32 +50,38 @@
 
 
 def drive(address: str, token: str, load: Load) -> Observed:
-    """Run one phase against a host, or against an engine itself."""
+    """Run one phase against a host or directly against an engine."""
     return curio.run(_drive, address, token, load)
 
 
 async def _drive(address: str, token: str, load: Load) -> Observed:
     client = HttpClient(HttpLimits(), 5.0)
-    seen = Observed()
+    observed = Observed()
     async with curio.TaskGroup() as group:
         for number in range(load.callers):
-            await group.spawn(_caller, client, address, token, load, seen, number)
+            await group.spawn(_caller, client, address, token, load, observed, number)
     await client.close()
-    return seen
+    return observed
 
 
 async def _caller(
-    client: HttpClient, address: str, token: str, load: Load, seen: Observed, turn: int
+    client: HttpClient,
+    address: str,
+    token: str,
+    load: Load,
+    observed: Observed,
+    index: int,
 ) -> None:
-    # Spread over one step, or all streams would bring their events in one burst.
-    await curio.sleep(turn / load.callers * 0.2)
+    # Starts are spread over 0.2 s; otherwise all streams would send their events in one
+    # burst per step.
+    await curio.sleep(index / load.callers * 0.2)
     for number in range(load.requests):
-        body = _body(load, f"caller {turn} asks {number}")
-        await _ask(client, address, token, body, seen)
+        body = _body(load, f"caller {index} asks {number}")
+        await _send(client, address, token, body, observed)
 
 
-async def _ask(
-    client: HttpClient, address: str, token: str, body: bytes, seen: Observed
+async def _send(
+    client: HttpClient, address: str, token: str, body: bytes, observed: Observed
 ) -> None:
     headers = {
         "Content-Type": "application/json",
@@ -84,19 +91,19 @@
     began = last = time.perf_counter()
     async with client.stream(address, "POST", CHAT, headers, body, TIMEOUT) as answer:
         if answer.status != 200:
-            seen.failed += 1
+            observed.failed += 1
         first = True
-        while piece := await answer.read():
+        while chunk := await answer.read():
             now = time.perf_counter()
-            seen.reads += 1
-            seen.events += piece.count(EVENT_END)
+            observed.reads += 1
+            observed.events += chunk.count(EVENT_END)
             if first:
-                seen.first.append(now - began)
+                observed.first.append(now - began)
                 first = False
             else:
-                seen.gaps.append(now - last)
+                observed.gaps.append(now - last)
             last = now
-    seen.whole.append(time.perf_counter() - began)
+    observed.whole.append(time.perf_counter() - began)
 
 
 def _body(load: Load, prompt: str) -> bytes:
--- a/packages/emulator/src/bronzepoint_emulator/bench/_processor_time.py
+++ b/packages/emulator/src/bronzepoint_emulator/bench/_processor_time.py
@@ -10,13 +10,13 @@
 
 
 def processor_time(pid: int) -> float:
-    """Return the seconds of processor time that a process has used, all threads."""
+    """Return the seconds of processor time of all threads of a process."""
     stat = Path(f"/proc/{pid}/stat").read_text()
     fields = stat.rpartition(")")[2].split()
     return (int(fields[_USER]) + int(fields[_SYSTEM])) / _TICKS
 
 
 def resident_memory(pid: int) -> int:
-    """Return the bytes of memory that a process holds."""
+    """Return the resident memory of a process in bytes."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
--- a/packages/emulator/src/bronzepoint_emulator/bench/overhead.py
+++ b/packages/emulator/src/bronzepoint_emulator/bench/overhead.py
@@ -1,8 +1,8 @@
-"""Measures what a host adds to a request and to a streamed event.
+"""``python -m bronzepoint_emulator.bench.overhead [FILE]``: overhead of a host.
 
-Run with ``python -m bronzepoint_emulator.bench.overhead [FILE]``. The processor time
-is the daemon's own, read before and after each phase, less what it uses when idle. The
-same load goes straight to the engine in the same run, so that the latencies compare.
+Measures the cost that a host adds to a request and to a streamed event. The processor
+time is that of the daemon during each phase, minus its use when idle. In the same run,
+the same load is sent directly to the engine, to compare latencies.
 """
 
 import os
@@ -29,7 +29,9 @@
 
 HOST = "one-1"
 IDLE_SECONDS = 3.0
+"""Duration of the measurement without load."""
 RUNS = 5
+"""Number of repetitions of all phases."""
 REQUESTS = Load(SHORT, callers=8, requests=100, tokens=1, stream=False)
 STREAM_PHASES = tuple(
     Load(STREAMS, callers, requests=1, tokens=100, stream=True)
@@ -45,13 +47,13 @@
     """One phase of one run.
 
     Attributes:
-        request_us: Processor time of the host for each request (µs).
-        event_us: Processor time for each event, requests taken off (µs).
+        request_us: Processor time of the host per request (µs).
+        event_us: Processor time per event, without that of the requests (µs).
         busy: Share of a core that the host used.
         direct_ms, through_ms: Median time to the first byte (ms).
         direct_p95_ms, through_p95_ms: 95th percentile of the same (ms).
-        events_per_read: Events that came in one read of the caller.
-        memory_mb: Memory of the host right after the phase.
+        events_per_read: Mean events per read of the callers.
+        memory_mb: Resident memory of the host after the phase (MB).
     """
 
     load: Load
@@ -78,9 +80,9 @@
 
 @contextmanager
 def measured(pid: int, idle: float) -> Iterator[list[float]]:
-    """Measure a process's processor time (s) in a block, less its idle use.
+    """Measure the processor time of a process in a block, minus its idle use.
 
-    Gives a list that holds the processor time and the elapsed time afterwards.
+    Yields a list that contains the processor time and the elapsed time (s) on exit.
     """
     result: list[float] = []
     began, used = time.monotonic(), processor_time(pid)
@@ -121,10 +123,10 @@
 def _request_row(host: str, engine: str, pid: int, idle: float, run: int) -> Row:
     direct = drive(engine, TOKEN, REQUESTS)
     with measured(pid, idle) as result:
-        through = drive(host, TOKEN, REQUESTS)
-    request_us = result[0] / len(through.whole) * MICRO
+        proxied = drive(host, TOKEN, REQUESTS)
+    request_us = result[0] / len(proxied.whole) * MICRO
     memory = resident_memory(pid)
-    return _row(REQUESTS, run, request_us, 0.0, result, memory, direct, through)
+    return _row(REQUESTS, run, request_us, 0.0, result, memory, direct, proxied)
 
 
 def _stream_row(
@@ -138,11 +140,11 @@
 ) -> Row:
     direct = drive(engine, TOKEN, load)
     with measured(pid, idle) as result:
-        through = drive(host, TOKEN, load)
-    spent = result[0] * MICRO - request_us * len(through.whole)
-    event_us = spent / through.events
+        proxied = drive(host, TOKEN, load)
+    spent = result[0] * MICRO - request_us * len(proxied.whole)
+    event_us = spent / proxied.events
     memory = resident_memory(pid)
-    return _row(load, run, request_us, event_us, result, memory, direct, through)
+    return _row(load, run, request_us, event_us, result, memory, direct, proxied)
 
 
 def _row(
@@ -153,7 +155,7 @@
     result: list[float],
     memory: float,
     direct: Observed,
-    through: Observed,
+    proxied: Observed,
 ) -> Row:
     return Row(
         load=load,
@@ -162,12 +164,12 @@
         event_us=event_us,
         busy=result[0] / result[1],
         direct_ms=statistics.median(direct.first) * MILLI,
-        through_ms=statistics.median(through.first) * MILLI,
+        through_ms=statistics.median(proxied.first) * MILLI,
         direct_p95_ms=_p95(direct.first) * MILLI,
-        through_p95_ms=_p95(through.first) * MILLI,
-        events_per_read=through.events / max(1, through.reads),
+        through_p95_ms=_p95(proxied.first) * MILLI,
+        events_per_read=proxied.events / max(1, proxied.reads),
         memory_mb=memory / MEGABYTE,
-        failed=through.failed + direct.failed,
+        failed=proxied.failed + direct.failed,
     )
 
 
@@ -176,7 +178,7 @@
 
 
 def table(report: Report) -> str:
-    """Return the medians over the runs, with their range, as a table."""
+    """Return a Markdown table of medians over the runs, with their range."""
     head = (
         "| load | host per request µs | host per event µs | busy | memory MB "
         "| first byte direct ms (p95) | through the host ms (p95) | failed |\n"
@@ -209,7 +211,7 @@
 
 
 def main() -> None:
-    """Measure, print the table, and write the data where a file is named."""
+    """Measure, print the table and optionally write the data to a file."""
     report = measure()
     print(f"Host idle: {report.idle_share:.2%} of a core; ", end="")
     print(f"load average {report.load_average:.1f}; {RUNS} runs, median (range).")
--- a/packages/emulator/src/bronzepoint_emulator/experiments/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments with the policy, on real processes under load and faults."""
+"""Experiments that compare placement policies under load and faults."""
 
 from bronzepoint_emulator.experiments._arrivals import Arrival, Stream, draw_arrivals
 from bronzepoint_emulator.experiments._scenarios import SCENARIOS, Scenario
--- a/packages/emulator/src/bronzepoint_emulator/experiments/__main__.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/__main__.py
@@ -1,4 +1,4 @@
-"""Run the experiments: ``python -m bronzepoint_emulator.experiments``."""
+"""``python -m bronzepoint_emulator.experiments``: run the experiments."""
 
 import time
 from pathlib import Path
@@ -15,6 +15,7 @@
 from bronzepoint_emulator.experiments._table import Results, result_table
 
 WARM_UP = "calm"
+"""Scenario run first, without measuring."""
 
 
 def main(
@@ -26,7 +27,7 @@
         list[str] | None, typer.Option(help="Scenarios to run; all by default.")
     ] = None,
 ) -> None:
-    """Compare the policy with plain ways of placing requests, on real processes.
+    """Compare the policy with baseline policies, on real processes.
 
     Example: python -m bronzepoint_emulator.experiments --seeds 1 --only calm
     """
@@ -34,7 +35,7 @@
     results: Results = {name: {} for name in names}
     began = time.monotonic()
     with Runs(CONTENDERS, typer.echo) as runs:
-        # Not measured: caches and estimates are new, as they are on no ordinary day.
+        # Not measured: caches and estimates are empty, unlike in normal operation.
         runs.run(WARM_UP, 0)
         for seed in range(1, seeds + 1):
             for name in names:
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_arrivals.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_arrivals.py
@@ -1,4 +1,4 @@
-"""Seeded arrivals: daily peaks, skewed prompts with shared prefixes, worths."""
+"""Seeded arrivals with daily peaks, skewed shared prefixes and varied worth."""
 
 import math
 from collections.abc import Sequence
@@ -7,23 +7,27 @@
 from msgspec import Struct
 
 PREFIXES = 16
+"""Number of shared prompt prefixes."""
 PREFIX_WORDS = 530
-"""Words of a shared prefix; with its blanks about 800 tokens."""
+"""Words per shared prefix; about 800 tokens, including the blanks."""
 _SKEW = 1.1
+"""Exponent of the Zipf distribution of prefixes."""
 _SUFFIX_WORDS = (4, 40)
+"""Range of the number of words after the prefix."""
 _TOKENS = (12, 36)
+"""Range of the number of generated tokens."""
 _WORTHS = ((1.0, 0.6), (4.0, 0.3), (16.0, 0.1))
-"""Worth of an answer, and the share of requests that have it."""
+"""Pairs of an answer's worth and the share of requests with it."""
 
 
 class Arrival(Struct, frozen=True):
-    """One request to be sent.
+    """One request to send.
 
     Attributes:
-        at: seconds after the start.
-        home: region of the caller.
-        owner: organisation of the caller.
-        host: which of the region's hosts the caller uses, 0 to 1.
+        at: Seconds after the start.
+        home: Region of the caller.
+        owner: Organisation of the caller.
+        host: Position of the called host among the region's, from 0 to 1.
     """
 
     at: float
@@ -39,12 +43,12 @@
     """Requests of one owner in one region.
 
     Attributes:
-        rate: requests a second on average.
-        swing: part of the rate by which the day's wave moves it.
-        phase: part of the day by which this region's peak comes later.
-        day: seconds of one day.
-        begin: seconds at which it begins.
-        end: seconds at which it ends.
+        rate: Mean requests per second.
+        swing: Relative amplitude of the daily variation.
+        phase: Delay of this region's peak as a share of a day.
+        day: Length of a simulated day in seconds.
+        begin: Start in seconds.
+        end: End in seconds.
     """
 
     home: str
@@ -57,7 +61,7 @@
     end: float = math.inf
 
     def rate_at(self, at: float) -> float:
-        """Return the requests a second at a moment."""
+        """Return the requests per second at a time (s)."""
         if not self.begin <= at < self.end:
             return 0.0
         wave = math.sin(2 * math.pi * (at / self.day - self.phase))
@@ -67,20 +71,20 @@
 def draw_arrivals(
     streams: Sequence[Stream], duration: float, seed: int
 ) -> list[Arrival]:
-    """Draw the arrivals of all streams, in the order of time.
+    """Draw the arrivals of all streams, ordered by time.
 
-    The same seed gives the same arrivals, whatever serves them.
+    Arrivals depend only on the streams, the duration (s) and the seed.
     """
     arrivals: list[Arrival] = []
     prefixes = [_words(Random(f"prefix {i}"), PREFIX_WORDS) for i in range(PREFIXES)]
     for number, stream in enumerate(streams):
         rng = Random(f"{seed} {number} {stream.home} {stream.owner}")
-        most = stream.rate * (1 + stream.swing)
-        at = rng.expovariate(most)
+        max_rate = stream.rate * (1 + stream.swing)
+        at = rng.expovariate(max_rate)
         while at < duration:
-            if rng.random() * most < stream.rate_at(at):
+            if rng.random() * max_rate < stream.rate_at(at):
                 arrivals.append(_draw(rng, stream, at, prefixes))
-            at += rng.expovariate(most)
+            at += rng.expovariate(max_rate)
     return sorted(arrivals, key=lambda arrival: arrival.at)
 
 
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_caller.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_caller.py
@@ -1,4 +1,4 @@
-"""Callers that send their requests at the drawn moments, answered or not."""
+"""Open-loop callers: requests are sent at their drawn times."""
 
 import time
 
@@ -11,22 +11,22 @@
 from bronzepoint_emulator.experiments._outcome import Outcome
 
 _ENTRY = "chat"
-_FIRST = b"data: "
-_LAST = b"data: [DONE]"
-_PATIENCE = 3.0
-"""Seconds after the deadline until a caller gives up; they bound the runs."""
+_EVENT_PREFIX = b"data: "
+_LAST_EVENT = b"data: [DONE]"
+_MAX_WAIT = 3.0
+"""Seconds after the deadline until a caller times out, to bound the runs."""
 
 
 class Callers:
-    """Sends requests to a deployment, each in a task of its own.
+    """Sends requests to a deployment, each in its own task.
 
-    The moment of sending does not depend on earlier answers: callers who wait for an
-    answer before they ask again would hide the very delays that are to be measured.
+    The time of sending does not depend on earlier answers. Callers that waited for an
+    answer before the next request would hide the delays to be measured.
 
     Args:
-        deployment: Where to send.
-        client: Connections, kept between runs.
-        deadline: Seconds within which a first token is worth having.
+        deployment: Deployment to send to.
+        client: HTTP client.
+        deadline: Seconds after which a first token has no worth.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         }
 
     async def send_all(self, arrivals: list[Arrival]) -> list[Outcome]:
-        """Send all requests at their moments and return what became of them."""
+        """Send all requests at their times and return their outcomes."""
         start = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for arrival in arrivals:
@@ -76,15 +76,15 @@
             "/v1/chat/completions",
             self._headers(arrival),
             body,
-            self._deadline + _PATIENCE,
+            self._deadline + _MAX_WAIT,
         ) as answer:
             outcome.served_in = answer.headers.get("bronzepoint-region", "")
             tail = b""
             async for chunk in answer.chunks():
                 tail = (tail + chunk)[-200:] if answer.status == 200 else tail + chunk
-                if outcome.first_token is None and _FIRST in tail:
+                if outcome.first_token is None and _EVENT_PREFIX in tail:
                     outcome.first_token = time.monotonic() - due
-            outcome.answered = answer.status == 200 and _LAST in tail
+            outcome.answered = answer.status == 200 and _LAST_EVENT in tail
             if answer.status != 200:
                 outcome.refusal = msgspec.json.decode(tail)["error"]["kind"]
 
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_cell.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_cell.py
@@ -1,4 +1,4 @@
-"""One run: one scenario with one seed on one deployment."""
+"""One run of a scenario with a seed on a deployment."""
 
 import time
 from collections import Counter
@@ -17,16 +17,17 @@
 
 _RETRY = "retry."
 _CONNECT_TIMEOUT = 2.0
+"""Seconds to connect to a host."""
 
 
 class Cell(Struct):
-    """What one run gave.
+    """Results of one run.
 
     Attributes:
-        outcomes: requests of the owners that are measured.
-        others: requests of the owners that are the disturbance.
-        cost: slot seconds of all engines, each at its own cost.
-        retries: repeated tries by reason, over all hosts.
+        outcomes: Outcomes of the measured owners' requests.
+        others: Outcomes of the other owners' requests.
+        cost: Slot seconds of all engines, weighted by each engine's cost.
+        retries: Retries of all hosts by reason.
     """
 
     scenario: str
@@ -46,7 +47,7 @@
     weights: str,
     seed: int,
 ) -> Cell:
-    """Send one scenario's requests, with its faults, and measure."""
+    """Run a scenario's requests and faults, and return the results."""
     arrivals = draw_arrivals(scenario.streams, scenario.duration, seed)
     cost, retries = engine_cost(deployment), retry_counts(deployment)
     outcomes = send(deployment, arrivals, scenario.events)
@@ -65,7 +66,7 @@
 def send(
     deployment: Deployment, arrivals: list[Arrival], events: Sequence[Event]
 ) -> list[Outcome]:
-    """Send requests at their moments while events happen."""
+    """Send requests at their times while events are applied."""
     return curio.run(_send, deployment, arrivals, events)
 
 
@@ -77,13 +78,13 @@
     try:
         async with curio.TaskGroup() as tasks:
             sending = await tasks.spawn(callers.send_all, arrivals)
-            await tasks.spawn(_bring_about, deployment, events)
+            await tasks.spawn(_apply_events, deployment, events)
         return sending.result
     finally:
         await client.close()
 
 
-async def _bring_about(deployment: Deployment, events: Sequence[Event]) -> None:
+async def _apply_events(deployment: Deployment, events: Sequence[Event]) -> None:
     start = time.monotonic()
     for event in events:
         await curio.sleep(max(0.0, start + event.at - time.monotonic()))
@@ -91,7 +92,7 @@
 
 
 def engine_cost(deployment: Deployment) -> float:
-    """Return what the engines' slots have cost so far."""
+    """Return the cost of the engines' used slot seconds so far."""
     return sum(
         deployment.targets.counts(engine.name).slot_seconds * engine.cost
         for engine in deployment.layout.engines
@@ -99,7 +100,7 @@
 
 
 def retry_counts(deployment: Deployment) -> Counter[str]:
-    """Return the retries that all hosts have counted, by reason."""
+    """Return the retries of all hosts by reason."""
     total: Counter[str] = Counter()
     for host in deployment.host_names():
         counters = deployment.operator(host).counters()
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_deployment.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that all experiments run on."""
+"""The deployment of the experiments."""
 
 from msgspec import structs
 
@@ -20,13 +20,17 @@
 OWNER = "saphan"
 OTHER_OWNER = "guest"
 SLOTS = 6
+"""Slots of each engine."""
 DEADLINE = 6.0
+"""Seconds until the first token of a request is due."""
 _COSTS = {"bkk": 1.0, "sgp": 2.0, "cnx": 0.6}
-"""Cost of one slot second, by region."""
+"""Cost of a slot second by region."""
 _ENGINES = 2
+"""Engines per region."""
 _TOKEN_TIME = 0.02
+"""Seconds to generate a token in a batch of one."""
 _CACHE_BLOCKS = 450
-"""Nine of the 16 shared prefixes fit into one engine's cache."""
+"""Blocks in an engine's prefix cache; enough for nine of the 16 shared prefixes."""
 
 SAPHAN_WEIGHTS = Weights(latency=2.0, cost=0.02)
 KARADENIZ_WEIGHTS = Weights(latency=0.1, cost=1.0)
@@ -49,7 +53,7 @@
 
 
 class _Catalogue:
-    """One entry that all engines serve, with one user's weights."""
+    """Builds a catalogue with one entry, served by all engines."""
 
     def __init__(self, weights: Weights) -> None:
         self._weights = weights
@@ -84,7 +88,7 @@
 
 
 def experiment_layout(choice: PolicyChoice, weights: Weights) -> Layout:
-    """Return nine hosts before six engines in three regions."""
+    """Return a layout of nine hosts and six engines in three regions."""
     layout = saphan(hosts_per_region=3)
     return structs.replace(
         layout,
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_limits.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_limits.py
@@ -1,4 +1,4 @@
-"""What a limit lets through over the hosts of a region, undisturbed and with faults."""
+"""Requests that a limit admits in a region, with and without faults."""
 
 from collections.abc import Callable
 
@@ -19,31 +19,35 @@
 from bronzepoint_schema.generated.settings import PolicyChoice
 
 RATE = 10.0
-_OFFERED = 60.0
+"""Limit in requests per second."""
+_OFFERED_RATE = 60.0
+"""Requests sent per second."""
 _SETTLE = 4.0
-"""Seconds before what is counted, in which the hosts get their first grants."""
+"""Seconds before counting starts, in which the hosts get their first grants."""
 _SECONDS = 12.0
+"""Seconds in which requests are counted."""
 _REGION = REGIONS[0]
-_SHARE_OF_RARE = 1.1
+_BOUND_FACTOR = 1.1
+"""Stated bound on the admitted rate, relative to the limit."""
 _REFUSED = "rate_limited"
 
 
 class LimitRun(Struct):
-    """What one run let through.
+    """Result of one run.
 
     Attributes:
-        bound: what docs/design/policy.md states at most.
+        bound: Upper bound of admitted requests, stated in docs/design/policy.md.
     """
 
     name: str
     seconds: float
     offered: int
-    passed: int
+    admitted: int
     bound: float
 
 
-class _Limited:
-    """The experiments' catalogue, with a limit on one owner."""
+class _LimitedCatalogue:
+    """Builds the experiments' catalogue, with a limit on one owner."""
 
     def __init__(self, layout: Layout) -> None:
         self._build = layout.catalogue
@@ -59,7 +63,7 @@
 
 
 def measure_limits() -> list[LimitRun]:
-    """Run each disturbance on a deployment of its own."""
+    """Run each fault on a separate deployment."""
     first = f"{_REGION}-1"
     return [
         _run("undisturbed", lambda deployment: None, faults=0),
@@ -71,50 +75,50 @@
         ),
         _run(
             "all hosts cut off from each other",
-            _isolate_each,
+            _isolate_all,
             faults=1,
         ),
     ]
 
 
-def _isolate_each(deployment: Deployment) -> None:
+def _isolate_all(deployment: Deployment) -> None:
     for number in (1, 2):
         deployment.isolate_host(f"{_REGION}-{number}")
 
 
 def _run(name: str, change: Callable[[Deployment], None], faults: int) -> LimitRun:
     layout = experiment_layout(PolicyChoice.policy, SAPHAN_WEIGHTS)
-    layout = structs.replace(layout, catalogue=_Limited(layout))
-    stream = Stream(_REGION, OTHER_OWNER, _OFFERED)
+    layout = structs.replace(layout, catalogue=_LimitedCatalogue(layout))
+    stream = Stream(_REGION, OTHER_OWNER, _OFFERED_RATE)
     drawn = draw_arrivals([stream], _SETTLE + _SECONDS, 1)
-    arrivals = [_short(arrival) for arrival in drawn]
+    arrivals = [_shorten(arrival) for arrival in drawn]
     with Deployment(layout, proxied=True) as deployment:
         outcomes = send(deployment, arrivals, [Event(_SETTLE, change)])
     counted = [one for one in outcomes if one.at >= _SETTLE]
-    passed = [one for one in counted if one.answered or one.first_token is not None]
+    admitted = [one for one in counted if one.answered or one.first_token is not None]
     hosts = len(layout.region_hosts(_REGION))
-    bound = _SHARE_OF_RARE * RATE * (_SECONDS + 1) + hosts
-    # Once for a fault: at most one more limit until the old grants have ended.
+    bound = _BOUND_FACTOR * RATE * (_SECONDS + 1) + hosts
+    # Each fault may admit up to one more limit until the old grants have expired.
     bound += faults * RATE * 2.5
-    return LimitRun(name, _SECONDS, len(counted), len(passed), bound)
+    return LimitRun(name, _SECONDS, len(counted), len(admitted), bound)
 
 
-def _short(arrival: Arrival) -> Arrival:
-    """Return a request that no engine is short of slots for."""
+def _shorten(arrival: Arrival) -> Arrival:
+    """Return a copy that is short enough to never exhaust the engines' slots."""
     return structs.replace(arrival, prompt=arrival.prompt[-40:], max_tokens=2)
 
 
 def limits_table(runs: list[LimitRun]) -> str:
-    """Return the runs as Markdown."""
+    """Return the runs as a Markdown table."""
     lines = [
         "| run | offered | limit x time | let through | stated bound | within |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for run in runs:
-        within = "yes" if run.passed <= run.bound else "no"
+        within = "yes" if run.admitted <= run.bound else "no"
         lines.append(
             f"| {run.name} | {run.offered} | {RATE * run.seconds:.0f} "
-            f"| {run.passed} | {run.bound:.0f} | {within} |"
+            f"| {run.admitted} | {run.bound:.0f} | {within} |"
         )
     return "\n".join(lines) + "\n"
 
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_outcome.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_outcome.py
@@ -1,17 +1,17 @@
-"""What became of one request, as its caller saw it."""
+"""Outcome of a request, as observed by its caller."""
 
 from msgspec import Struct
 
 
 class Outcome(Struct):
-    """One request's end.
+    """Outcome of one request.
 
     Attributes:
-        first_token: seconds from the scheduled sending to the first token; None:
+        first_token: Seconds from the scheduled sending to the first token; None if
             there was none.
-        answered: the whole answer came.
-        refusal: kind of the refusal; empty: it was not refused.
-        served_in: region that answered or refused.
+        answered: Whether the complete answer was received.
+        refusal: Kind of the refusal or connection error; empty if there was none.
+        served_in: Region that answered or refused.
     """
 
     at: float
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_plot.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_plot.py
@@ -1,4 +1,4 @@
-"""A plot of the table: the tail to the first token, and the worth per cost."""
+"""Bar charts of the results: p99 to the first token, and worth per cost."""
 
 from pathlib import Path
 
@@ -6,11 +6,13 @@
 from bronzepoint_emulator.experiments._table import Results
 
 _SIZE = (12, 8)
+"""Width and height in inches."""
 _GROUP = 0.8
+"""Width of a group of bars, where groups are 1 apart."""
 
 
 def draw_plot(results: Results, path: Path) -> None:
-    """Write the plot as SVG; needs matplotlib."""
+    """Write the plot as SVG; requires matplotlib."""
     import matplotlib
 
     matplotlib.use("svg")
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_runs.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_runs.py
@@ -1,4 +1,4 @@
-"""All runs of the experiments, paired: the same arrivals, at the same time."""
+"""Paired runs: all contenders get the same arrivals at the same time."""
 
 import multiprocessing
 import time
@@ -12,13 +12,14 @@
 from bronzepoint_emulator.experiments._worker import work
 
 _JOIN_TIMEOUT = 30.0
+"""Seconds that a worker process gets to exit."""
 
 
 class Contender(Struct, frozen=True):
-    """One way of placing requests, with one user's weights.
+    """A placement policy with the weights of one user.
 
     Attributes:
-        extra: more keys of the [policy] section.
+        extra: Additional keys of the [policy] section.
     """
 
     choice: str
@@ -27,7 +28,7 @@
     extra: dict[str, str] = {}
 
     def name(self) -> str:
-        """Return what the table calls it."""
+        """Return the contender's name in the table."""
         return self.label or self.choice
 
 
@@ -41,18 +42,18 @@
 
 
 class RunFailed(Exception):
-    """A run gave no result; the message holds the worker's error."""
+    """A run failed; the message has the worker's traceback."""
 
 
 class Runs:
-    """One deployment for each contender, all at work at the same time.
+    """Runs one deployment per contender, concurrently.
 
-    Run one after another, the contenders would meet a machine that is busy to
-    different degrees; side by side they share whatever disturbs them.
+    If run one after another, contenders would be measured at different loads of the
+    machine; concurrent runs share any disturbance.
 
     Args:
-        contenders: What is compared.
-        note: Told of the progress.
+        contenders: Policies to compare.
+        note: Called with progress messages.
     """
 
     def __init__(
@@ -65,14 +66,14 @@
     def __enter__(self) -> Self:
         context = multiprocessing.get_context("spawn")
         for contender in self._contenders:
-            here, there = context.Pipe()
+            parent_end, child_end = context.Pipe()
             process = context.Process(
                 target=work,
-                args=(there, contender.choice, contender.weights, contender.extra),
+                args=(child_end, contender.choice, contender.weights, contender.extra),
             )
             process.start()
-            there.close()
-            self._workers.append((process, here))
+            child_end.close()
+            self._workers.append((process, parent_end))
         for _, commands in self._workers:
             commands.recv()
         self._note(f"{len(self._workers)} deployments are up")
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_scenarios.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_scenarios.py
@@ -1,4 +1,4 @@
-"""What happens in each experiment."""
+"""The scenarios: request streams and faults over time."""
 
 from collections.abc import Callable, Sequence
 
@@ -14,30 +14,34 @@
     region_engines,
 )
 
-_FAULTY = REGIONS[0]
-_SLOTS_LEFT = SLOTS // 3
-_LATE = 5.0
-_SLOW = 6.0
+_FAULTY_REGION = REGIONS[0]
+_REDUCED_SLOTS = SLOTS // 3
+"""Slots of each engine during a loss of capacity."""
+_LOAD_LAG = 5.0
+"""Seconds by which load reports lag."""
+_SLOWDOWN = 6.0
+"""Factor by which an engine is slowed down."""
 
 Change = Callable[[Deployment], None]
 
 
 class Event(Struct, frozen=True):
-    """Something that is done to a deployment at a moment."""
+    """A change of a deployment at a time (s after the start)."""
 
     at: float
     change: Change
 
 
 class Scenario(Struct, frozen=True):
-    """One experiment.
+    """One scenario.
 
     Attributes:
-        duration: seconds in which requests arrive.
-        streams: who sends how much.
-        events: what is done to the deployment.
-        faulty: False for the calm one, in which the policy must only not be worse.
-        measured: owners whose requests are measured; the others are the disturbance.
+        duration: Seconds in which requests arrive.
+        streams: Streams of requests.
+        events: Changes of the deployment.
+        faulty: False for the scenario without faults, in which the policy must only
+            not be worse than the others.
+        measured: Owners whose requests are measured; others only add load.
     """
 
     name: str
@@ -55,27 +59,27 @@
 
 
 def _lose_capacity(deployment: Deployment) -> None:
-    for engine in region_engines(_FAULTY):
-        deployment.set_faults(engine, slots=_SLOTS_LEFT)
+    for engine in region_engines(_FAULTY_REGION):
+        deployment.set_faults(engine, slots=_REDUCED_SLOTS)
 
 
-def _return_cold(deployment: Deployment) -> None:
-    for engine in region_engines(_FAULTY):
+def _restore_without_cache(deployment: Deployment) -> None:
+    for engine in region_engines(_FAULTY_REGION):
         deployment.set_faults(engine, slots=0, forget_cache=True)
 
 
-def _report_late(deployment: Deployment) -> None:
+def _delay_reports(deployment: Deployment) -> None:
     for region in REGIONS:
         for engine in region_engines(region):
-            deployment.set_faults(engine, load_lag=_LATE)
+            deployment.set_faults(engine, load_lag=_LOAD_LAG)
 
 
 def _slow_down(deployment: Deployment) -> None:
-    deployment.set_faults(region_engines(_FAULTY)[0], slow=_SLOW)
+    deployment.set_faults(region_engines(_FAULTY_REGION)[0], slow=_SLOWDOWN)
 
 
 def _isolate(deployment: Deployment) -> None:
-    deployment.isolate_region(_FAULTY)
+    deployment.isolate_region(_FAULTY_REGION)
 
 
 def _heal(deployment: Deployment) -> None:
@@ -83,7 +87,7 @@
 
 
 def restore(deployment: Deployment) -> None:
-    """Undo everything that an experiment has done to a deployment."""
+    """Undo all changes that a scenario makes to a deployment."""
     deployment.heal()
     for region in REGIONS:
         for engine in region_engines(region):
@@ -104,10 +108,10 @@
         "capacity_loss",
         16.0,
         _steady((8.0, 6.0, 5.0)),
-        [Event(3.0, _lose_capacity), Event(10.0, _return_cold)],
+        [Event(3.0, _lose_capacity), Event(10.0, _restore_without_cache)],
     ),
     Scenario(
-        "late_reports", 14.0, _steady((11.0, 7.0, 5.0)), [Event(0.0, _report_late)]
+        "late_reports", 14.0, _steady((11.0, 7.0, 5.0)), [Event(0.0, _delay_reports)]
     ),
     Scenario("slow_target", 14.0, _steady((6.0, 6.0, 6.0)), [Event(3.0, _slow_down)]),
     Scenario(
@@ -115,7 +119,7 @@
         14.0,
         [
             *_steady((5.0, 5.0, 5.0)),
-            Stream(_FAULTY, OTHER_OWNER, 40.0, begin=3.0, end=10.0),
+            Stream(_FAULTY_REGION, OTHER_OWNER, 40.0, begin=3.0, end=10.0),
         ],
     ),
     Scenario(
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_summary.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_summary.py
@@ -1,4 +1,4 @@
-"""The columns of the table, from the outcomes of the runs."""
+"""Summary statistics of the runs, which are the columns of the table."""
 
 import statistics
 from collections import Counter
@@ -11,18 +11,18 @@
 
 
 class Summary(Struct):
-    """One run in figures.
+    """Summary statistics of one run.
 
     Attributes:
-        p50, p95, p99: seconds to the first token of answered requests.
-        p99_all: the same over all requests; one without an answer counts as the
-            deadline, so that refusing doesn't look fast.
-        in_time: share of requests answered with the first token before the deadline.
-        cost: cost per answered request, of all owners.
-        worth: worth of the requests answered in time, of all owners, per cost.
-        away: share of answered requests that were served away from home.
-        refusals: refused requests by kind.
-        retries: repeated tries per request.
+        p50, p95, p99: Seconds to the first token of answered requests.
+        p99_all: The same over all requests. Requests without an answer count as the
+            deadline, so that refusals do not count as fast.
+        in_time: Share of requests answered with the first token before the deadline.
+        cost: Cost per answered request of all owners.
+        worth: Worth of all owners' requests answered in time, per cost.
+        away: Share of answered requests that were served in another region.
+        refusals: Refused requests by kind.
+        retries: Retries per request.
     """
 
     requests: int
@@ -39,16 +39,18 @@
 
 
 def summarise(cell: Cell) -> Summary:
-    """Return the figures of one run."""
+    """Return the summary of one run."""
     outcomes = cell.outcomes
     answered = [one for one in outcomes if one.answered]
     delays = sorted(one.first_token or 0.0 for one in answered)
-    everyone = sorted(waited(one) for one in outcomes)
-    in_time = [one for one in answered if waited(one) < DEADLINE]
-    # The engines' cost can't be told apart by owner, so it is compared with what all
-    # owners got for it.
-    paid = [one for one in outcomes + cell.others if one.answered]
-    worth = sum(one.worth for one in paid if waited(one) < DEADLINE)
+    all_delays = sorted(time_to_first_token(one) for one in outcomes)
+    in_time = [one for one in answered if time_to_first_token(one) < DEADLINE]
+    # The engines' cost is not known per owner, so it is related to the answers of all
+    # owners.
+    all_answered = [one for one in outcomes + cell.others if one.answered]
+    worth = sum(
+        one.worth for one in all_answered if time_to_first_token(one) < DEADLINE
+    )
     away = sum(1 for one in answered if one.served_in != one.home)
     refusals = Counter(one.refusal or "cut" for one in outcomes if not one.answered)
     return Summary(
@@ -56,9 +58,9 @@
         p50=quantile(delays, 0.5),
         p95=quantile(delays, 0.95),
         p99=quantile(delays, 0.99),
-        p99_all=quantile(everyone, 0.99),
+        p99_all=quantile(all_delays, 0.99),
         in_time=len(in_time) / max(1, len(outcomes)),
-        cost=cell.cost / max(1, len(paid)),
+        cost=cell.cost / max(1, len(all_answered)),
         worth=worth / max(1e-9, cell.cost),
         away=away / max(1, len(answered)),
         refusals=dict(refusals),
@@ -66,23 +68,23 @@
     )
 
 
-def waited(outcome: Outcome) -> float:
-    """Return the time to the first token; without an answer, the deadline."""
+def time_to_first_token(outcome: Outcome) -> float:
+    """Return the seconds to the first token, or the deadline if unanswered."""
     if not outcome.answered or outcome.first_token is None:
         return DEADLINE
     return outcome.first_token
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile of sorted values: the nearest rank."""
+    """Return a quantile of sorted values, by nearest rank."""
     if not values:
         return float("nan")
     return values[min(len(values) - 1, int(share * len(values)))]
 
 
 def mean_and_spread(values: list[float]) -> tuple[float, float]:
-    """Return the mean of the seeds and half of their range."""
+    """Return the mean of the values and half their range."""
     return statistics.fmean(values), (max(values) - min(values)) / 2
 
 
-__all__ = ["Summary", "mean_and_spread", "quantile", "summarise", "waited"]
+__all__ = ["Summary", "mean_and_spread", "quantile", "summarise", "time_to_first_token"]
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_table.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_table.py
@@ -1,11 +1,11 @@
-"""The table of the experiments, as Markdown."""
+"""Markdown table of the results."""
 
 from collections import Counter
 
 from bronzepoint_emulator.experiments._summary import Summary, mean_and_spread
 
 Results = dict[str, dict[str, list[Summary]]]
-"""Figures by scenario and contender, one for each seed."""
+"""Summaries by scenario and contender, one per seed."""
 
 _HEAD = (
     "scenario",
@@ -24,7 +24,7 @@
 
 
 def result_table(results: Results) -> str:
-    """Return one row for each scenario and contender: mean ± half the range."""
+    """Return one row per scenario and contender, with mean ± half the range."""
     lines = [_row(_HEAD), _row(["---"] * len(_HEAD))]
     for scenario, contenders in results.items():
         for contender, summaries in contenders.items():
@@ -43,20 +43,20 @@
     return [
         scenario,
         contender,
-        _figure([s.p50 for s in summaries], "{:.3f}"),
-        _figure([s.p95 for s in summaries], "{:.2f}"),
-        _figure([s.p99 for s in summaries], "{:.2f}"),
-        _figure([s.p99_all for s in summaries], "{:.2f}"),
-        _figure([100 * s.in_time for s in summaries], "{:.1f}") + " %",
-        _figure([s.cost for s in summaries], "{:.2f}"),
-        _figure([s.worth for s in summaries], "{:.2f}"),
-        _figure([100 * s.away for s in summaries], "{:.0f}") + " %",
-        _figure([s.retries for s in summaries], "{:.3f}"),
+        _format_figure([s.p50 for s in summaries], "{:.3f}"),
+        _format_figure([s.p95 for s in summaries], "{:.2f}"),
+        _format_figure([s.p99 for s in summaries], "{:.2f}"),
+        _format_figure([s.p99_all for s in summaries], "{:.2f}"),
+        _format_figure([100 * s.in_time for s in summaries], "{:.1f}") + " %",
+        _format_figure([s.cost for s in summaries], "{:.2f}"),
+        _format_figure([s.worth for s in summaries], "{:.2f}"),
+        _format_figure([100 * s.away for s in summaries], "{:.0f}") + " %",
+        _format_figure([s.retries for s in summaries], "{:.3f}"),
         kinds or "none",
     ]
 
 
-def _figure(values: list[float], form: str) -> str:
+def _format_figure(values: list[float], form: str) -> str:
     mean, spread = mean_and_spread(values)
     return f"{form.format(mean)} ± {form.format(spread)}"
 
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_worker.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_worker.py
@@ -1,4 +1,4 @@
-"""A process that keeps one deployment and runs cells on it, one after another."""
+"""Worker process that runs scenarios on one deployment, one after another."""
 
 import traceback
 from multiprocessing.connection import Connection
@@ -17,13 +17,13 @@
 
 
 def work(commands: Connection, choice: str, weights: str, extra: dict) -> None:
-    """Start a deployment, then run (scenario, seed) pairs until None comes.
+    """Start a deployment, then run (scenario, seed) pairs until None is received.
 
     Args:
-        commands: Where pairs come from and results go to.
-        choice: The [policy] choice.
-        weights: Whose weights the entry has.
-        extra: More keys of the [policy] section.
+        commands: Connection for receiving pairs and sending results.
+        choice: Value of ``choice`` in the [policy] section.
+        weights: User whose weights the entry has.
+        extra: Additional keys of the [policy] section.
     """
     scenarios = {scenario.name: scenario for scenario in SCENARIOS}
     layout = experiment_layout(PolicyChoice(choice), _WEIGHTS[weights])
--- a/packages/emulator/src/bronzepoint_emulator/experiments/limits.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/limits.py
@@ -1,4 +1,4 @@
-"""Measure what limits let through, on real daemons (`experiments.limits`)."""
+"""Measures the requests that a limit admits, on real daemons."""
 
 import sys
 from pathlib import Path
--- a/packages/emulator/src/bronzepoint_emulator/slopes/__init__.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Cost of one host against the sizes that it depends on, measured on this code."""
+"""Benchmarks of a host's cost as a function of the deployment's size."""
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_agreement_feeder.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_agreement_feeder.py
@@ -1,4 +1,4 @@
-"""The other hosts of a measurement, all in one process."""
+"""The hosts around the measured one, all in one process."""
 
 from typing import Any
 
@@ -41,15 +41,18 @@
 )
 
 _POLL = 0.8
+"""Seconds between two polls of a child."""
 _TIMEOUT = 30.0
+"""Seconds to wait for a change to be accepted."""
 _FIRST_PORT = 1024
+"""Port of the first target; targets are never contacted."""
 
 
 class Child:
-    """A host that learns from the measured one, without keeping anything.
+    """A host that polls the measured one for changes, without storing them.
 
     Args:
-        name: Its name.
+        name: Name of the host.
         plan: The measurement.
     """
 
@@ -62,7 +65,7 @@
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         await self._peers.start()
         self._task = await curio.spawn(self._poll, daemon=True)
 
@@ -92,30 +95,30 @@
             await curio.sleep(_POLL)
 
 
-class FollowingPeers(Peers):
-    """Links of a voter that never stands, so that the measured one leads."""
+class NonCandidatePeers(Peers):
+    """Links of a voter that is never a candidate, so that the measured one leads."""
 
     async def call(
         self, peer: HostName, area: Area, message: Any, timeout: float
     ) -> Any:
-        """Call as usual, but never ask for a vote."""
+        """Send a request, unless it asks for a vote."""
         if isinstance(message, VoteRequest):
             raise PeerUnknown(peer)
         return await super().call(peer, area, message, timeout)
 
 
 class FeederVoter:
-    """A voter beside the measured host.
+    """A voter other than the measured host.
 
     Args:
-        name: Its name.
+        name: Name of the host.
         plan: The measurement.
     """
 
     def __init__(self, name: HostName, plan: AgreementPlan) -> None:
         settings = plan.settings(name)
         metrics = Metrics()
-        links = FollowingPeers if plan.leads else Peers
+        links = NonCandidatePeers if plan.leads else Peers
         self._peers = links(name, plan.hosts[name], plan.key(), metrics)
         for host, address in plan.hosts.items():
             self._peers.set_address(host, address, fixed=True)
@@ -123,20 +126,20 @@
         self.agreement = Agreement(settings, self._peers, self._catalogue, metrics)
 
     async def start(self) -> None:
-        """Take part."""
+        """Start the voter."""
         await self._peers.start()
         await self._catalogue.start()
         await self.agreement.start()
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop the voter."""
         await self.agreement.close()
         await self._catalogue.close()
         await self._peers.close()
 
 
 class Feeder:
-    """Runs all hosts of a plan but the measured one, and makes the changes.
+    """Runs all hosts of a plan except the measured one, and makes changes.
 
     Args:
         plan: The measurement.
@@ -151,7 +154,7 @@
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Start the hosts, and the changes once the cluster has begun."""
+        """Start the hosts, and the changes once the cluster is formed."""
         for host in [*self._voters, *self._children]:
             await host.start()
         self._task = await curio.spawn(self._change, daemon=True)
@@ -164,7 +167,7 @@
             await host.close()
 
     async def _change(self) -> None:
-        while not await self._begin():
+        while not await self._initialise():
             await curio.sleep(0.2)
         for number in range(self._plan.items):
             await self._propose(_owner(number, 0))
@@ -177,7 +180,7 @@
             number += 1
             await curio.sleep(1 / self._plan.rate)
 
-    async def _begin(self) -> bool:
+    async def _initialise(self) -> bool:
         try:
             await self._voters[0].agreement.initialise()
         except AgreementError:
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_agreement_host.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_agreement_host.py
@@ -1,4 +1,4 @@
-"""The measured host: ``python -m`` this module, with the plan's file."""
+"""The measured host: ``python -m`` this module with the path of a plan."""
 
 import sys
 import time
@@ -17,11 +17,12 @@
 from bronzepoint_node.agreement import Agreement
 from bronzepoint_node.catalogue import Catalogue
 
-_PATIENCE = 300.0
+_MAX_WAIT = 300.0
+"""Seconds for the host to load the catalogue."""
 
 
 class MeasuredHost:
-    """The parts of one host that the agreed catalogue needs.
+    """The components of a host that replicate the catalogue.
 
     Args:
         plan: The measurement.
@@ -40,11 +41,11 @@
         )
 
     async def measure(self) -> AgreementFigures:
-        """Run, wait until the catalogue is loaded, and return what it costs."""
+        """Run until the catalogue is loaded, then measure the cost."""
         await self._peers.start()
         await self._catalogue.start()
         await self._agreement.start()
-        async with curio.timeout_after(_PATIENCE):
+        async with curio.timeout_after(_MAX_WAIT):
             while not self._is_loaded():
                 await curio.sleep(0.1)
         await curio.sleep(self._plan.warm_up)
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_agreement_plan.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_agreement_plan.py
@@ -1,4 +1,4 @@
-"""What one measurement of the agreed catalogue runs, and what it gives."""
+"""Plan and figures of one measurement of catalogue replication."""
 
 from msgspec import Struct
 
@@ -14,7 +14,7 @@
 
 _KEY = "5" * 64
 _REGION = RegionName("r0")
-_ELSEWHERE = RegionName("r1")
+_REMOTE_REGION = RegionName("r1")
 MEASURED = HostName("measured")
 
 
@@ -22,15 +22,15 @@
     """Hosts, sizes and times of one measurement.
 
     Attributes:
-        hosts: Peer address of each host; voters are ``voter-number``, hosts that learn
-            from the measured one ``child-number``.
-        folder: Where voters keep their state.
-        leads: Whether the measured host is a voter and leads; else it is a relay.
+        hosts: Peer address of each host; voters are named ``voter-number``, hosts that
+            poll the measured one ``child-number``.
+        folder: Folder for the voters' state.
+        leads: Whether the measured host is the leading voter; otherwise it is a relay.
         items: Items in the catalogue.
-        targets: Targets of the model whose changes are measured; 0: owners change.
-        rate: Changes a second.
-        warm_up: Seconds before it counts.
-        seconds: For which it counts.
+        targets: Targets of the model that is changed; if 0, owners are changed.
+        rate: Changes per second.
+        warm_up: Seconds before the measurement.
+        seconds: Duration of the measurement.
     """
 
     hosts: dict[HostName, str]
@@ -43,7 +43,7 @@
     seconds: float = 10.0
 
     def is_voter(self, name: HostName) -> bool:
-        """Tell whether a host votes."""
+        """Return whether a host is a voter."""
         return name.startswith("voter") or (name == MEASURED and self.leads)
 
     def settings(self, name: HostName) -> Settings:
@@ -63,7 +63,7 @@
         return cluster_key(self.settings(MEASURED))
 
     def _region(self, name: HostName) -> RegionName:
-        return _ELSEWHERE if name.startswith("voter") else _REGION
+        return _REMOTE_REGION if name.startswith("voter") else _REGION
 
     def _peer(self, host: HostName) -> PeerSection:
         return PeerSection(
@@ -76,7 +76,7 @@
 
 
 class AgreementFigures(Struct):
-    """What the measured host spent, a second, and holds."""
+    """Resource use of the measured host; all but memory per second."""
 
     messages: float
     sent_bytes: float
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_decisions_host.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_decisions_host.py
@@ -1,7 +1,7 @@
-"""The measured host of the decisions' slopes, in a process of its own.
+"""The measured host of the decisions' slopes, run as a separate process.
 
-``python -m bronzepoint_emulator.slopes._decisions_host PLAN``: records at a rate, and
-keeps the copies that the other host sends, for the time that the JSON file PLAN says.
+``python -m bronzepoint_emulator.slopes._decisions_host PLAN``: records decisions at the
+rate in the JSON file PLAN and stores the copies that the other host sends.
 """
 
 import random
@@ -33,23 +33,24 @@
 REGION = RegionName("bkk")
 DATA_CENTER = DataCenterName("bkk-a")
 CANDIDATES = 8
-"""Regions and targets in one record; a deployment of six engines shows five."""
+"""Regions and targets per record; records of a six-engine deployment have five."""
 TICK = 0.05
-"""Seconds between two bursts of records."""
+"""Seconds between bursts of records."""
 HELD_BATCH = 11
-"""Records of one copy at 22 requests a second, two copies a second."""
+"""Records per batch of copies, at 22 requests and two batches per second."""
 LOOKUPS = 200
+"""Number of lookups whose time is averaged."""
 
 
 class DecisionsPlan(Struct):
-    """One measurement of two hosts that back each other up.
+    """One measurement of two hosts that are each other's backup.
 
     Attributes:
-        name: The host that reads this plan.
+        name: Name of the host that reads this plan.
         addresses: Peer address of each host.
-        rate: Records a second on each host.
-        seconds: For which it counts.
-        held: Records put into the store before it counts.
+        rate: Records per second on each host.
+        seconds: Duration of the measurement.
+        held: Records put into the store before the measurement.
     """
 
     name: str
@@ -60,17 +61,17 @@
 
 
 class DecisionsFigures(Struct):
-    """What the host spent, a second, and what it holds.
+    """Resource use of the host.
 
     Attributes:
-        rate: Records a second that were made.
-        messages: Control messages sent a second; as many are received.
-        sent_bytes: Payload of these a second.
-        processor_ms: Processor time a second.
-        memory_mb: Resident memory at the end.
-        store_bytes: What the store counts for own records and copies.
-        records: Own records held.
-        find_ms: Time to find one record in the store.
+        rate: Records made per second.
+        messages: Control messages sent per second; as many are received.
+        sent_bytes: Payload bytes of these messages per second.
+        processor_ms: Processor time per second (ms).
+        memory_mb: Peak resident memory (MiB).
+        store_bytes: Size of own records and copies, as counted by the store.
+        records: Own records in the store.
+        find_ms: Time to find one record in the store (ms).
     """
 
     rate: float
@@ -84,20 +85,20 @@
 
 
 class CountingPeers(Peers):
-    """Counts the messages that are posted, and their bytes."""
+    """Counts the posted messages and their bytes."""
 
     messages = 0
     sent_bytes = 0
 
     def post(self, peer: HostName, area: Area, message: object) -> bool:
-        """Post, and count the payload."""
+        """Post a message and count its payload."""
         self.messages += 1
         self.sent_bytes += len(msgspec.msgpack.encode(message))
         return super().post(peer, area, message)
 
 
 class TwoHosts:
-    """A membership of the two hosts, both live."""
+    """A fixed membership of two live hosts."""
 
     def __init__(self, names: list[str]) -> None:
         self._hosts = {
@@ -117,7 +118,7 @@
 
 
 def make_record(request_id: RequestId, host: str, rng: random.Random) -> DecisionRecord:
-    """Return a record as large as a model call's, with terms that vary."""
+    """Return a record of the size of a model call's, with random values."""
     candidates = [
         Candidate(
             f"{REGION}-engine-{number}",
@@ -154,7 +155,7 @@
 
 
 async def run(plan: DecisionsPlan) -> DecisionsFigures:
-    """Run the host and return what it spent."""
+    """Run the host and return its resource use."""
     rng = random.Random(plan.name)
     peers = CountingPeers(
         HostName(plan.name), plan.addresses[plan.name], KEY, Metrics()
@@ -166,20 +167,22 @@
     decisions = Decisions(host, peers, TwoHosts(list(plan.addresses)), Metrics(), cfg)
     await peers.start()
     await decisions.start()
-    await hold(decisions, plan, rng)
+    await fill_store(decisions, plan, rng)
     prepared = [
         make_record(decisions.new_request_id(), plan.name, rng)
         for _ in range(round(plan.rate * plan.seconds))
     ]
     await curio.sleep(1.0)
-    figures = await count(decisions, peers, plan, prepared)
+    figures = await measure_rate(decisions, peers, plan, prepared)
     await curio.sleep(1.0)
     await peers.close()
     return figures
 
 
-async def hold(decisions: Decisions, plan: DecisionsPlan, rng: random.Random) -> None:
-    """Fill the store to what is asked, in batches as they come in operation."""
+async def fill_store(
+    decisions: Decisions, plan: DecisionsPlan, rng: random.Random
+) -> None:
+    """Add the plan's records to the store, in batches as in operation."""
     for number in range(plan.held):
         request_id = decisions.new_request_id()
         decisions._store.add(make_record(request_id, plan.name, rng))
@@ -187,13 +190,13 @@
             decisions._store.seal_pending()
 
 
-async def count(
+async def measure_rate(
     decisions: Decisions,
     peers: CountingPeers,
     plan: DecisionsPlan,
     prepared: list[DecisionRecord],
 ) -> DecisionsFigures:
-    """Record at the rate, and count."""
+    """Record at the plan's rate and measure."""
     store = decisions._store
     messages, sent = peers.messages, peers.sent_bytes
     processor, began = time.process_time(), time.monotonic()
@@ -206,10 +209,10 @@
         await curio.sleep(TICK)
     processor = time.process_time() - processor
     wanted = prepared[0].request_id if prepared else decisions.new_request_id()
-    looked = time.process_time()
+    lookup_time = time.process_time()
     for _ in range(LOOKUPS):
         store.find(wanted)
-    looked = time.process_time() - looked
+    lookup_time = time.process_time() - lookup_time
     return DecisionsFigures(
         rate=done / spent,
         messages=(peers.messages - messages) / spent,
@@ -218,7 +221,7 @@
         memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         store_bytes=store.own.size + store.copies.size,
         records=store.own.records,
-        find_ms=looked * 1000 / LOOKUPS,
+        find_ms=lookup_time * 1000 / LOOKUPS,
     )
 
 
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_limits_host.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_limits_host.py
@@ -1,7 +1,7 @@
-"""The measured host of the limits' slopes, in a process of its own.
+"""The measured host of the limits' slopes, run as a separate process.
 
 ``python -m bronzepoint_emulator.slopes._limits_host PLAN``: charges requests to the
-organisations of the JSON file PLAN, and prints what the host spent on their limits.
+organisations of the JSON file PLAN and prints the cost of their limits.
 """
 
 import os
@@ -32,21 +32,23 @@
 from bronzepoint_schema.ids import EntryName, HostName, OwnerName, RegionName, RequestId
 
 OWNERS = 3000
-"""Organisations with limits in the catalogue, whether they are active or not."""
+"""Organisations with limits in the catalogue, active or not."""
 LIMIT_RATE = 10.0
-"""Requests a second that a region lets through for one organisation."""
+"""Requests per second that a region admits for one organisation."""
 LIMIT_TIME = 6
-"""Seconds of that rate that may be in progress."""
+"""Limit of requests in progress, as seconds of requests at that rate."""
 LIMIT_TOKENS = 2000.0
-"""Tokens for each request of that rate."""
+"""Token limit, as tokens per request at that rate."""
 RATE = 22.0
-"""Requests a second that each host charges."""
+"""Requests per second that each host charges."""
 TICK = 0.05
-"""Seconds between two bursts of requests."""
+"""Seconds between bursts of requests."""
 IN_PROGRESS_TIME = 1.0
 """Seconds from the start of a request to its end."""
 MAX_TOKENS = 256
+"""Tokens that a request reserves."""
 USED_TOKENS = 200
+"""Tokens that a request uses."""
 _MEGABYTE = 1_000_000
 _REFUSALS = ("rate_limited", "tokens_limited", "in_progress_limited")
 
@@ -55,9 +57,9 @@
     """One measurement.
 
     Attributes:
-        active: Organisations that the requests are drawn from; 0: all requests come
-            from one that has no limits.
-        limit: Requests a second that an organisation may send.
+        active: Number of organisations that send requests; if 0, all requests are of
+            an organisation without limits.
+        limit: Requests per second that an organisation may send.
     """
 
     warm_up: float = 5.0
@@ -67,19 +69,19 @@
 
 
 class LimitsFigures(Struct):
-    """What one host spent, a second, and holds.
+    """Resource use of one host; rates are per second.
 
     Attributes:
-        messages: Control messages, in and out.
+        messages: Control messages sent and received.
         sent_bytes: Bytes of frames sent.
         received_bytes: Bytes of frames received.
-        processor_ms: Processor time, the charging of the requests included.
+        processor_ms: Processor time (ms), including the charging of requests.
         memory_mb: Resident memory at the end, in millions of bytes.
         requests: Requests charged.
-        refused: Requests refused by a limit, by what refused them.
-        unanswered: Reports that got no answer in time.
-        kept: Limits that the host keeps at the end for its own requests.
-        held: Limits that it divides at the end as their holder.
+        refused: Requests refused, by kind of limit.
+        unanswered: Reports without an answer in time.
+        kept: Limits tracked at the end for the host's own requests.
+        held: Limits divided at the end as their holder.
     """
 
     messages: float
@@ -95,10 +97,10 @@
 
 
 class OwnerValues:
-    """A catalogue of organisations with the same limits; nothing else has any.
+    """A catalogue of organisations with equal limits and no other limits.
 
     Args:
-        plan: Says what the limits are.
+        plan: Plan that gives the limits.
     """
 
     def __init__(self, plan: LimitsPlan) -> None:
@@ -121,14 +123,14 @@
 
 
 class LoadedHost:
-    """The limits of one host, and the requests that are charged to them.
+    """The limits of one host and a generator of requests charged to them.
 
     Args:
         plan: The measurement.
-        name: The host.
-        peers: Its links.
+        name: Name of the host.
+        peers: Links of the host.
         values: The catalogue.
-        metrics: Where its limits count.
+        metrics: Counters of its limits.
     """
 
     def __init__(
@@ -158,7 +160,7 @@
         self._task: curio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to report and to charge, at a moment of this host's own."""
+        """Start reporting and charging, after a random delay."""
         self._task = await curio.spawn(self._charge_periodically)
 
     async def close(self) -> None:
@@ -203,7 +205,7 @@
 
 
 async def measure(plan: LimitsPlan) -> LimitsFigures:
-    """Run the measured host and return what it spent."""
+    """Run the measured host and return its resource use."""
     name, metrics = HostName(plan.measured), Metrics()
     peers = Peers(name, plan.hosts[name], plan.key(), metrics)
     for other, address in plan.hosts.items():
@@ -219,7 +221,7 @@
 
 
 async def count(plan: LimitsPlan, host: LoadedHost, metrics: Metrics) -> LimitsFigures:
-    """Count for the time of the plan."""
+    """Measure for the duration of the plan."""
     before, requests = metrics.counters(), host.requests
     started, processor = time.monotonic(), time.process_time()
     await curio.sleep(plan.seconds)
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_measured_process.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_measured_process.py
@@ -1,4 +1,4 @@
-"""The measured host as a process of its own, and the rows that come of it."""
+"""Runs the measured host as a separate process and prints the results."""
 
 import socket
 import subprocess
@@ -15,7 +15,7 @@
 
 
 async def run_host(module: str, plan: Any, figures: type[Figures]) -> Figures:
-    """Run a host with its plan as a process and return the figures that it prints."""
+    """Run a host with its plan as a process and return its figures."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "plan.json"
         path.write_bytes(msgspec.json.encode(plan))
@@ -47,8 +47,8 @@
 
     Args:
         sizes: Arguments of ``measure``; the first is the name of the slope.
-        slopes: Slopes that are wanted; empty: all.
-        measure: Returns a row.
+        slopes: Slopes to measure; all if empty.
+        measure: Function that returns a row.
     """
     for size in sizes:
         if slopes and size[0] not in slopes:
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_membership_feeder.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_membership_feeder.py
@@ -1,4 +1,4 @@
-"""The other hosts of a measurement, all in one process, and the targets."""
+"""The hosts around the measured one, and the targets, all in one process."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -15,15 +15,15 @@
 from bronzepoint_schema.ids import EntryName, HostName
 
 ENTRIES = 4
-"""Entries in use, whose load each host reports."""
+"""Number of entries whose load each host reports."""
 Handler = Callable[[HostName, Any], Awaitable[Any]]
 
 
 class FeederPeers(Peers):
-    """Talks to the measured host over the network and to the others in memory.
+    """Reaches the measured host over the network and the others in memory.
 
-    They would otherwise need a connection for each pair of hosts, which costs this
-    process more than the measured one.
+    Real connections between all pairs of hosts would cost this process more than the
+    measured one.
     """
 
     def __init__(
@@ -40,12 +40,12 @@
         others[name] = self
 
     def register(self, area: Area, union: Any, handler: Handler) -> None:
-        """Register as usual, and for the others."""
+        """Register a handler for the network and for calls in memory."""
         super().register(area, union, handler)
         self._handler = handler
 
     def post(self, peer: HostName, area: Area, message: Any) -> bool:
-        """Post to the measured host; the others' load shares are not needed."""
+        """Post to the measured host only; the others need no load shares."""
         return peer == self._measured and super().post(peer, area, message)
 
     async def call(
@@ -61,10 +61,10 @@
 
 
 class Feeder:
-    """Runs all hosts of a plan but the measured one, and its targets.
+    """Runs all hosts of a plan except the measured one, and the targets.
 
     Args:
-        plan: The measurement; its list of targets is filled with real addresses.
+        plan: The measurement; the targets' addresses are added to it.
         targets: Number of targets.
     """
 
@@ -105,7 +105,7 @@
 
 
 def make_shares() -> list[EntryShare]:
-    """Return a host's part of the load of the entries in use."""
+    """Return a host's share of the load of the entries."""
     return [
         EntryShare(EntryName(f"entry-{number}"), 800, 25, 0.125)
         for number in range(ENTRIES)
@@ -113,7 +113,7 @@
 
 
 async def answer_poll(exchange: Exchange) -> None:
-    """Answer as an idle engine does."""
+    """Answer a poll as an engine would."""
     now = 1.0e9
     answer: object = LoadReport(4, 0, 8, now)
     if exchange.request.path.startswith("/cache"):
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_membership_host.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_membership_host.py
@@ -1,4 +1,4 @@
-"""The measured host: ``python -m`` this module, with the plan's file."""
+"""The measured host: ``python -m`` this module with the path of a plan."""
 
 import sys
 import time
@@ -20,25 +20,26 @@
 from bronzepoint_schema.generated.catalogue import ModelEntry
 from bronzepoint_schema.ids import HostName, Revision
 
-_PATIENCE = 60.0
+_MAX_WAIT = 60.0
+"""Seconds for the host to know all hosts and regions."""
 _HEAD_BYTES = 150
-"""Bytes of a poll's two heads, which the client does not count."""
+"""Bytes of a poll's request and answer heads, which the client does not count."""
 
 
 class CountingClient(HttpClient):
-    """Counts the bytes that polls bring."""
+    """Counts the bytes received by polls."""
 
     received = 0
 
     async def fetch(self, *args: object, **kwargs: object) -> Answer:
-        """Fetch as usual."""
+        """Fetch and count the answer's bytes."""
         answer = await super().fetch(*args, **kwargs)  # type: ignore[arg-type]
         self.received += len(answer.body) + _HEAD_BYTES
         return answer
 
 
 class PlanCatalogue:
-    """The entries of the plan; they never change."""
+    """A fixed catalogue with the entries of the plan."""
 
     revision = Revision(1)
 
@@ -51,7 +52,7 @@
 
 
 async def measure(plan: MembershipPlan) -> Figures:
-    """Run the measured host and return what it spent."""
+    """Run the measured host and return its resource use."""
     name = HostName(plan.measured)
     settings = plan.settings(plan.measured)
     metrics = Metrics()
@@ -64,7 +65,7 @@
     await targets.start()
     regions = {host.split("-")[0] for host in plan.hosts}
     own = sum(1 for host in plan.hosts if host.split("-")[0] == membership.region)
-    async with curio.timeout_after(_PATIENCE):
+    async with curio.timeout_after(_MAX_WAIT):
         while not _is_complete(membership, own, len(regions)):
             await curio.sleep(0.1)
     await curio.sleep(plan.warm_up)
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_membership_plan.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_membership_plan.py
@@ -1,4 +1,4 @@
-"""What one measurement of membership runs, and what it gives."""
+"""Plan and figures of one measurement of membership."""
 
 from typing import Any
 
@@ -31,11 +31,11 @@
     """Hosts, targets and times of one measurement.
 
     Attributes:
-        hosts: peer address of each host; names are ``region-number``.
-        measured: the host that runs in a process of its own.
-        targets: addresses of the targets of its region.
-        warm_up: seconds after all hosts are known before it counts.
-        seconds: for which it counts.
+        hosts: Peer address of each host; names are ``region-number``.
+        measured: Name of the measured host, which runs as a separate process.
+        targets: Addresses of the targets in its region.
+        warm_up: Seconds between knowing all hosts and the measurement.
+        seconds: Duration of the measurement.
     """
 
     hosts: dict[str, str]
@@ -59,7 +59,7 @@
         return cluster_key(self.settings(self.measured))
 
     def entries(self) -> list[ModelEntry]:
-        """Return the catalogue: one model on all targets, or nothing."""
+        """Return the catalogue: one model on all targets; empty without targets."""
         targets = [
             Target(
                 TargetName(f"t{number}"),
@@ -77,7 +77,7 @@
 
 
 class Figures(Struct):
-    """What one host spent, a second, and holds."""
+    """Resource use of one host; all but memory per second."""
 
     messages: float
     sent_bytes: float
@@ -90,5 +90,5 @@
 
 
 def difference(after: dict[str, Any], before: dict[str, Any], name: str) -> float:
-    """Return by how much a counter grew."""
+    """Return the increase of a counter."""
     return float(after.get(name, 0) - before.get(name, 0))
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_meter.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_meter.py
@@ -1,4 +1,4 @@
-"""What one daemon of a deployment uses: processor time, memory, control bytes."""
+"""Measures a daemon's processor time, memory and control messages."""
 
 import time
 from pathlib import Path
@@ -12,15 +12,15 @@
 
 
 class Usage(Struct):
-    """Use between two moments.
+    """Resource use over an interval.
 
     Attributes:
-        seconds: Time between them.
-        processor: Seconds of processor time, all threads.
-        memory: Bytes held at the end.
+        seconds: Length of the interval.
+        processor: Seconds of processor time of all threads.
+        memory: Bytes of resident memory at the end.
         sent: Bytes of control messages to other hosts.
         received: Bytes of control messages from other hosts.
-        messages: Control messages, in and out.
+        messages: Control messages sent and received.
     """
 
     seconds: float
@@ -30,8 +30,8 @@
     received: int
     messages: int
 
-    def above(self, idle: "Usage") -> "Usage":
-        """Return this use less what an idle host uses in the same time."""
+    def minus_idle(self, idle: "Usage") -> "Usage":
+        """Return this use minus that of an idle host over the same time."""
         share = self.seconds / idle.seconds
         return Usage(
             self.seconds,
@@ -44,11 +44,11 @@
 
 
 class HostMeter:
-    """Reads the use of one host.
+    """Measures the resource use of one host.
 
     Args:
-        deployment: Where it runs.
-        host: Its name.
+        deployment: Deployment of the host.
+        host: Name of the host.
     """
 
     def __init__(self, deployment: Deployment, host: str) -> None:
@@ -58,7 +58,7 @@
         self._before = self._read()
 
     def begin(self) -> None:
-        """Begin to measure."""
+        """Start an interval."""
         self._before = self._read()
 
     def end(self) -> Usage:
@@ -86,10 +86,10 @@
 
 
 def processor_time(pid: int) -> float:
-    """Return the seconds that all threads of a process have run so far.
+    """Return the seconds of processor time of all threads of a process.
 
-    From schedstat, in nanoseconds: the ticks of /proc/PID/stat are too coarse for the
-    few milliseconds that a quiet host uses.
+    It is read from schedstat in nanoseconds, since the ticks of /proc/PID/stat are too
+    coarse for the few milliseconds that an idle host uses.
     """
     total = 0
     for stat in Path(f"/proc/{pid}/task").glob("*/schedstat"):
@@ -101,7 +101,7 @@
 
 
 def resident_memory(pid: int) -> int:
-    """Return the bytes that a process holds in memory."""
+    """Return the resident memory of a process in bytes."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * KIB
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_run_once_region.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_run_once_region.py
@@ -1,4 +1,4 @@
-"""A region whose run-once hosts all live in this process, linked over loopback."""
+"""A region of run-once hosts in this process, connected over loopback."""
 
 from pathlib import Path
 from typing import Self
@@ -14,15 +14,17 @@
 
 KEY = bytes(32)
 CLOCK_SKEW = 0.05
+"""Allowed clock skew in seconds."""
 POLL = 0.01
+"""Seconds between two checks of the hosts' state."""
 
 
 class RunOnceRegion:
     """Starts the hosts and waits until their copies may vote.
 
     Args:
-        hosts: How many.
-        folder: Where their logs go; None: no host has a disk.
+        hosts: Number of hosts.
+        folder: Folder for their logs; if None, hosts have no disk.
     """
 
     def __init__(self, hosts: int, folder: Path | None = None) -> None:
@@ -37,7 +39,7 @@
     async def start(self) -> Self:
         """Start all hosts."""
         for name in self.names:
-            await self.boot(name)
+            await self.start_host(name)
         while not all(host.ready and host.recovered for host in self.hosts.values()):
             await curio.sleep(POLL)
         return self
@@ -45,10 +47,10 @@
     async def close(self) -> None:
         """Stop all hosts."""
         for name in self.names:
-            await self.stop(name)
+            await self.stop_host(name)
 
-    async def boot(self, name: HostName) -> None:
-        """Start one host, without memory where there is no folder."""
+    async def start_host(self, name: HostName) -> None:
+        """Start one host; without a folder it has no stored state."""
         peers = Peers(name, self._addresses[name], KEY, self.metrics)
         for other, address in self._addresses.items():
             peers.set_address(other, address, fixed=True)
@@ -61,11 +63,11 @@
         self._peers[name] = peers
         self.hosts[name] = host
 
-    async def stop(self, name: HostName) -> None:
+    async def stop_host(self, name: HostName) -> None:
         """End one host."""
         await self.hosts.pop(name).close(grace=0)
         await self._peers.pop(name).close()
 
     def counter(self, name: str) -> int:
-        """Return a counter of all hosts together."""
+        """Return the sum of a counter over all hosts."""
         return self.metrics.counters().get(name, 0)
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_spread_hosts.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_spread_hosts.py
@@ -1,4 +1,4 @@
-"""Many hosts in one process, with the trips between regions taking their time."""
+"""Many hosts in one process, with delayed messages between regions."""
 
 from pathlib import Path
 from typing import Any
@@ -25,11 +25,13 @@
 _KEY = "5" * 64
 _VOTERS_PER_REGION = (2, 2, 1)
 _BATCH = 6
+"""Hosts started together."""
 _PAUSE = 0.3
+"""Seconds between two batches of starts."""
 
 
 class LiveName(Struct):
-    """A live host, as membership would give it."""
+    """A live host, with the fields of membership's."""
 
     name: HostName
     region: RegionName
@@ -37,13 +39,13 @@
 
 
 class DelayedPeers(Peers):
-    """Links whose messages to other regions arrive after a trip.
+    """Links that delay messages to other regions.
 
     Args:
-        settings: The host's settings.
+        settings: Settings of the host.
         metrics: Counters.
         regions: Region of each host.
-        trip: Seconds that a message takes between regions.
+        delay: One-way delay between regions in seconds.
     """
 
     def __init__(
@@ -51,45 +53,45 @@
         settings: Settings,
         metrics: Metrics,
         regions: dict[HostName, RegionName],
-        trip: float,
+        delay: float,
     ) -> None:
         name = settings.host.name
         super().__init__(name, settings.listen.peer, cluster_key(settings), metrics)
         self._regions = regions
         self._own_region = settings.host.region
-        self._trip = trip
-        self._on_the_way: curio.UniversalQueue = curio.UniversalQueue()
+        self._delay = delay
+        self._in_flight: curio.UniversalQueue = curio.UniversalQueue()
 
     async def start(self) -> None:
-        """Listen, and carry messages to other regions."""
+        """Start listening and forwarding delayed messages."""
         await super().start()
-        await self._tasks.spawn(self._carry)
+        await self._tasks.spawn(self._forward_delayed)
 
     def _send_payload(self, peer: HostName, *frame: Any) -> bool:
-        if self._regions[peer] == self._own_region or not self._trip:
+        if self._regions[peer] == self._own_region or not self._delay:
             return super()._send_payload(peer, *frame)
-        self._on_the_way.put((monotonic() + self._trip, peer, frame))
+        self._in_flight.put((monotonic() + self._delay, peer, frame))
         return True
 
-    async def _carry(self) -> None:
+    async def _forward_delayed(self) -> None:
         while True:
-            due, peer, frame = await self._on_the_way.get()
+            due, peer, frame = await self._in_flight.get()
             await curio.sleep(max(0.0, due - monotonic()))
             super()._send_payload(peer, *frame)
 
 
 class SpreadHost:
-    """One host: its catalogue and agreement.
+    """The catalogue and agreement of one host.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the host.
         site: All hosts.
     """
 
     def __init__(self, settings: Settings, site: "SpreadSite") -> None:
         self.metrics = Metrics()
         self.is_voter = settings.host.voter
-        self.peers = DelayedPeers(settings, self.metrics, site.regions, site.trip)
+        self.peers = DelayedPeers(settings, self.metrics, site.regions, site.delay)
         for name, address in site.addresses.items():
             self.peers.set_address(name, address, fixed=True)
         self.catalogue = Catalogue(
@@ -114,15 +116,15 @@
     """All hosts of a measurement.
 
     Args:
-        hosts: How many.
-        regions: Over how many regions.
-        trip: Seconds that a message takes between regions.
-        folder: Where voters keep their state.
+        hosts: Number of hosts.
+        regions: Number of regions.
+        delay: One-way delay between regions in seconds.
+        folder: Folder for the voters' state.
     """
 
-    def __init__(self, hosts: int, regions: int, trip: float, folder: Path) -> None:
+    def __init__(self, hosts: int, regions: int, delay: float, folder: Path) -> None:
         names = [f"r{number % regions}-{number // regions}" for number in range(hosts)]
-        self.trip = trip
+        self.delay = delay
         self.addresses = {HostName(n): a for n, a in free_addresses(names).items()}
         self.regions = {name: RegionName(name.split("-")[0]) for name in self.addresses}
         self.live = [LiveName(name, region) for name, region in self.regions.items()]
@@ -136,10 +138,10 @@
         self.hosts = [SpreadHost(self._settings(n), self) for n in self.addresses]
 
     async def start(self) -> None:
-        """Begin the cluster and start the hosts, a few at a time.
+        """Form the cluster and start the hosts in batches.
 
-        Each host that starts asks its whole region; all at once in one process would
-        measure that process and not the hosts.
+        A starting host queries its whole region. Starting all hosts at once would
+        overload this process and distort the measurement.
         """
         voters = [host for host in self.hosts if host.is_voter]
         others = [host for host in self.hosts if not host.is_voter]
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_system_loads.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_system_loads.py
@@ -1,4 +1,4 @@
-"""Loads of the measurements on a whole deployment."""
+"""Loads for the measurements on a deployment."""
 
 import time
 from collections.abc import Callable
@@ -23,8 +23,9 @@
 )
 from bronzepoint_schema.ids import EntryName, OwnerName
 
-CONTESTED = EntryName("tour-notes")
+CONTESTED_ITEM = EntryName("tour-notes")
 SEED = 1
+"""Seed of the arrival times."""
 
 
 def lookups(number: int) -> LoadCall:
@@ -33,7 +34,7 @@
 
 
 def saves(number: int) -> LoadCall:
-    """Return a non-idempotent service call with a key of its own."""
+    """Return a non-idempotent service call with a new idempotency key."""
     return LoadCall(
         "POST",
         "/v1/services/phrases/saved",
@@ -44,7 +45,7 @@
 
 
 def chats(number: int) -> LoadCall:
-    """Return a short model call whose prompt no other one shares."""
+    """Return a short model call with a unique prompt."""
     body = chat_body("phrasebook", f"{number} please translate", 2, stream=True)
     return LoadCall("POST", "/v1/chat/completions", msgspec.json.encode(body))
 
@@ -52,7 +53,7 @@
 def send_load(
     client: Client, call: Callable[[int], LoadCall], rate: float, seconds: float
 ) -> LoadResult:
-    """Send calls to one host at a rate, and wait for their answers."""
+    """Send calls to one host at a rate and wait for their answers."""
 
     async def run() -> LoadResult:
         http = HttpClient(HttpLimits(), 5.0)
@@ -65,8 +66,8 @@
 
 
 def send_changes(operator: Operator, rate: float, seconds: float) -> int:
-    """Change one entry at a rate; returns how many changes were accepted."""
-    path = f"/v1/admin/catalogue/model/{CONTESTED}"
+    """Change one entry at a rate and return the number of changes."""
+    path = f"/v1/admin/catalogue/model/{CONTESTED_ITEM}"
     item = msgspec.convert(operator.client.get(path).json()["item"], type=ModelEntry)
     began = time.monotonic()
     count = 0
@@ -82,7 +83,7 @@
 
 
 def owner_items(first: int, last: int) -> list[CatalogueItem]:
-    """Return organisations with a limit each."""
+    """Return organisations, each with a limit."""
     return [
         OwnerItem(OwnerName(f"organisation-{number:05}"), 1, limits=Limits(rate=10.0))
         for number in range(first, last)
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_system_rows.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_system_rows.py
@@ -1,4 +1,4 @@
-"""One measurement on a deployment."""
+"""A measurement on a deployment."""
 
 from msgspec import Struct
 
@@ -6,12 +6,12 @@
 
 
 class SystemRow(Struct):
-    """Use of one host at one size.
+    """Resource use of one host at one size.
 
     Attributes:
-        size: Rate a second, or number of items; see the slope.
-        count: Requests or changes that the use is for; 0 for a slope of items.
-        use: Above idle where there is a count, else while idle.
+        size: Rate per second, or number of items, depending on the slope.
+        count: Requests or changes during the interval; 0 for a slope of items.
+        use: Use minus that of an idle host if ``count`` is not 0, else use while idle.
     """
 
     slope: str
--- a/packages/emulator/src/bronzepoint_emulator/slopes/_system_table.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/_system_table.py
@@ -1,4 +1,4 @@
-"""The measurements of a deployment as a page, with a line fitted to each slope."""
+"""Markdown tables of a deployment's measurements, with fitted lines."""
 
 from collections import defaultdict
 from statistics import linear_regression
@@ -10,7 +10,7 @@
 
 
 def system_table(rows: list[SystemRow]) -> str:
-    """Return a table of the loads and one of the items."""
+    """Return tables of the idle hosts, the loads and the items."""
     idle = [row for row in rows if row.slope == "idle"]
     loads = [row for row in rows if row.count]
     items = [row for row in rows if not row.count and row.slope != "idle"]
@@ -48,7 +48,7 @@
 
 
 def _load_slopes(rows: list[SystemRow]) -> list[str]:
-    """Fit processor time a second against the rate."""
+    """Return a table of linear fits of processor time per second to the rate."""
     head = [
         "| Load | host | µs each, by the fitted line | % of a core at rate 0 |",
         "| --- | --- | ---: | ---: |",
--- a/packages/emulator/src/bronzepoint_emulator/slopes/agreement.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/agreement.py
@@ -1,9 +1,9 @@
-"""``python -m bronzepoint_emulator.slopes.agreement``: cost of the agreed catalogue.
+"""``python -m bronzepoint_emulator.slopes.agreement``: cost of catalogue replication.
 
-One host runs alone in a process and is measured; voters and the hosts that learn from
-it run in this process and talk to it over the real links. Rows: children of a relay,
-children of the leader, voters, changes a second, items, targets of the changed entry,
-and, in this process, the length of the log.
+The measured host runs as a separate process; the voters and the hosts that poll it run
+in this process and reach it over real links. Rows: children of a relay, children of the
+leader, voters, changes per second, items, targets of the changed entry, and, measured
+in this process, the length of the log.
 """
 
 import tempfile
@@ -41,15 +41,18 @@
 CHILDREN = [0, 4, 8, 16, 32]
 VOTERS = [3, 5, 7, 9]
 RATES = [0.0, 0.5, 1.0, 2.0, 4.0]
+"""Changes per second."""
 ITEMS = [50, 500, 1500, 3000]
 TARGETS = [10, 100, 500, 1800]
 LOG_LENGTHS = [100, 1000, 5000, 20000]
+"""Numbers of log entries."""
 _HOST_MODULE = "bronzepoint_emulator.slopes._agreement_host"
 _LOG_ITEMS = 1000
+"""Number of items that the log's entries change."""
 
 
 class Row(Struct):
-    """One measurement of a host."""
+    """Measurement of a host."""
 
     slope: str
     leads: bool
@@ -62,7 +65,7 @@
 
 
 class LogRow(Struct):
-    """One measurement of the log, in milliseconds."""
+    """Measurement of the log; times in milliseconds."""
 
     slope: str
     entries: int
@@ -84,13 +87,13 @@
     """Measure one size.
 
     Args:
-        slope: What is varied.
-        leads: Whether the measured host leads; else it is a relay.
-        voters: Voters, the measured one included where it leads.
-        children: Hosts that learn from it.
-        rate: Changes a second.
+        slope: Name of the varied size.
+        leads: Whether the measured host leads; otherwise it is a relay.
+        voters: Number of voters, including the measured host if it leads.
+        children: Hosts that poll it.
+        rate: Changes per second.
         items: Items in the catalogue.
-        targets: Targets of the changed entry; 0: owners change.
+        targets: Targets of the changed entry; if 0, owners are changed.
     """
     others = voters - 1 if leads else voters
     names = [f"voter-{number}" for number in range(others)]
@@ -108,16 +111,16 @@
 
 
 async def measure_log(entries: int) -> LogRow:
-    """Measure appending to, reading back and compacting a log of this length."""
+    """Measure appending to, reopening, replaying and compacting a log."""
     with tempfile.TemporaryDirectory() as folder:
         log = VoterLog(Path(folder))
         await log.open()
         log_entries = [_entry(index) for index in range(1, entries + 1)]
-        await log.append(log_entries[: -_last(entries)])
+        await log.append(log_entries[: -_single_appends(entries)])
         started = time.perf_counter()
-        for entry in log_entries[-_last(entries) :]:
+        for entry in log_entries[-_single_appends(entries) :]:
             await log.append([entry])
-        append = (time.perf_counter() - started) / _last(entries)
+        append = (time.perf_counter() - started) / _single_appends(entries)
         await log.close()
         log = VoterLog(Path(folder))
         started = time.perf_counter()
@@ -136,7 +139,8 @@
     return LogRow("log length", entries, *times)
 
 
-def _last(entries: int) -> int:
+def _single_appends(entries: int) -> int:
+    """Return how many of a log's entries are appended one by one and timed."""
     return min(50, entries // 2)
 
 
@@ -150,7 +154,7 @@
 
 
 async def measure_all() -> None:
-    """Measure every row, one after another, and print each."""
+    """Measure all rows, one after another, and print each."""
     for entries in LOG_LENGTHS:
         print_row(await measure_log(entries))
     for children in CHILDREN:
--- a/packages/emulator/src/bronzepoint_emulator/slopes/decisions.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/decisions.py
@@ -1,8 +1,8 @@
 """``python -m bronzepoint_emulator.slopes.decisions``: cost of decision records.
 
-Two hosts, each in a process of its own, record at the same rate and back each other
-up, so each bears what a host of a large region bears: its own records and the copies
-of about one other host. Rows: records a second, and records held.
+Two hosts in separate processes record at the same rate and are each other's backup. As
+in a large region, each has its own records and the copies of about one other host.
+Rows: records per second, and records in the store.
 """
 
 import subprocess
@@ -17,15 +17,19 @@
 from bronzepoint_emulator.slopes._measured_process import free_addresses
 
 RATES = [0, 5, 11, 22, 44, 88, 176]
+"""Records per second."""
 HELD = [0, 5_000, 10_000, 20_000, 40_000]
+"""Numbers of records in the store."""
 SECONDS = 20.0
+"""Duration of a measurement at a rate."""
 HELD_SECONDS = 2.0
+"""Duration of a measurement of a filled store, without new records."""
 HOSTS = ["bkk-1", "bkk-2"]
 _HOST_MODULE = "bronzepoint_emulator.slopes._decisions_host"
 
 
 class Row(Struct):
-    """One measurement: what is varied, its value, and the figures of one host."""
+    """Measurement of one host, with the name and value of the varied size."""
 
     slope: str
     value: int
--- a/packages/emulator/src/bronzepoint_emulator/slopes/directory.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/directory.py
@@ -1,6 +1,6 @@
 """``python -m bronzepoint_emulator.slopes.directory``: cost of a directory answer.
 
-Rows: processor time of one answer against the hosts of the region.
+Rows: processor time of one answer by the number of hosts in the region.
 """
 
 import time
@@ -17,11 +17,13 @@
 
 HOSTS = [3, 8, 16, 30, 64, 100]
 ANSWERS = 5000
+"""Number of answers whose time is averaged."""
 _TTL = 5.0
+"""Seconds for which an answer is valid."""
 
 
 class DirectoryRow(Struct):
-    """One measurement; no network is involved."""
+    """Measurement of a directory answer, without network."""
 
     hosts: int
     answer_us: float
@@ -29,10 +31,9 @@
 
 
 def measure(hosts: int) -> DirectoryRow:
-    """Measure the answers of a host whose region has so many hosts.
+    """Measure the answers of a host in a region of ``hosts`` hosts.
 
-    All of them are known from the settings and not heard of, which costs the same as
-    if they were live.
+    The hosts are known from the settings but not live, which costs the same.
     """
     names = [f"{MEASURED_REGION}-{number}" for number in range(hosts)]
     plan = MembershipPlan({name: "127.0.0.1:9" for name in names}, names[0])
--- a/packages/emulator/src/bronzepoint_emulator/slopes/entry.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/entry.py
@@ -1,7 +1,7 @@
-"""Slopes of a host's request path: connections, requests and streamed events.
+"""``python -m bronzepoint_emulator.slopes.entry``: cost of a host's request path.
 
-Run with ``python -m bronzepoint_emulator.slopes.entry``; prints one JSON line for each
-point. One real daemon, one engine, and as many callers as the point says.
+Prints one JSON line per point: idle connections, concurrent requests and streams. They
+are measured on one real daemon with stub engines.
 """
 
 import time
@@ -23,24 +23,27 @@
 HOST = "one-1"
 CONNECTIONS = (200, 400, 800, 1600)
 CALLERS = (2, 4, 8, 16)
+"""Numbers of concurrent callers."""
 STREAM_COUNTS = (16, 32, 64, 128, 256)
 REQUESTS = 100
+"""Number of requests per caller."""
 TOKENS = 100
+"""Number of tokens per stream."""
 IDLE_SECONDS = 3.0
 MICRO = 1e6
 MEGABYTE = 1e6
 
 
 class Point(Struct):
-    """One point of one slope.
+    """Measurement at one size.
 
     Attributes:
-        slope: What the cost is taken against.
-        count: How many of it there were.
-        cost_us: Processor time (µs) for each request, or event; 0: not measured.
-        memory_mb: Memory of the host at that moment.
+        slope: Name of the varied size.
+        count: Value of the varied size.
+        cost_us: Processor time (µs) per request or event; 0 if not measured.
+        memory_mb: Resident memory of the host (MB).
         busy: Share of a core used.
-        failed: Requests that were not answered.
+        failed: Requests without an answer.
     """
 
     slope: str
@@ -52,9 +55,10 @@
 
 
 def measure() -> list[Point]:
-    """Measure all points, connections and calls each on a fresh daemon.
+    """Measure all points, with a new daemon for connections and for calls.
 
-    Memory that one slope has freed is used again by the next, and would hide it.
+    On the same daemon, calls would reuse the memory freed by connections, which would
+    hide their own use.
     """
     return _on_fresh_host(_connection_points) + _on_fresh_host(_call_points)
 
@@ -74,8 +78,10 @@
     idle = _idle_share(pid)
     points = [Point("idle", 0, 0.0, _memory(pid), idle)]
     points += [_requests(address, pid, idle, count) for count in CALLERS]
-    each = min(point.cost_us for point in points[1:])
-    points += [_streams(address, pid, idle, each, count) for count in STREAM_COUNTS]
+    request_us = min(point.cost_us for point in points[1:])
+    points += [
+        _streams(address, pid, idle, request_us, count) for count in STREAM_COUNTS
+    ]
     return points
 
 
@@ -88,23 +94,30 @@
 def _requests(address: str, pid: int, idle: float, callers: int) -> Point:
     load = Load(SHORT, callers, REQUESTS, 1, stream=False)
     began, used = time.monotonic(), processor_time(pid)
-    seen = drive(address, TOKEN, load)
+    observed = drive(address, TOKEN, load)
     elapsed = time.monotonic() - began
     spent = processor_time(pid) - used - idle * elapsed
-    cost = spent / len(seen.whole) * MICRO
+    cost = spent / len(observed.whole) * MICRO
     return Point(
-        "requests at once", callers, cost, _memory(pid), spent / elapsed, seen.failed
+        "requests at once",
+        callers,
+        cost,
+        _memory(pid),
+        spent / elapsed,
+        observed.failed,
     )
 
 
-def _streams(address: str, pid: int, idle: float, each: float, count: int) -> Point:
+def _streams(
+    address: str, pid: int, idle: float, request_us: float, count: int
+) -> Point:
     load = Load(STREAMS, count, 1, TOKENS, stream=True)
     began, used = time.monotonic(), processor_time(pid)
-    seen = drive(address, TOKEN, load)
+    observed = drive(address, TOKEN, load)
     elapsed = time.monotonic() - began
     spent = processor_time(pid) - used - idle * elapsed
-    cost = (spent * MICRO - each * len(seen.whole)) / seen.events
-    return Point("streams", count, cost, _memory(pid), spent / elapsed, seen.failed)
+    cost = (spent * MICRO - request_us * len(observed.whole)) / observed.events
+    return Point("streams", count, cost, _memory(pid), spent / elapsed, observed.failed)
 
 
 def _connections(address: str, pid: int, count: int) -> Point:
@@ -132,7 +145,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure and print all points."""
     for point in measure():
         print(msgspec.json.encode(point).decode())
 
--- a/packages/emulator/src/bronzepoint_emulator/slopes/limits.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/limits.py
@@ -1,10 +1,10 @@
-"""``python -m bronzepoint_emulator.slopes.limits``: cost of limits over a region.
+"""``python -m bronzepoint_emulator.slopes.limits``: cost of a region's limits.
 
-One host runs alone in a process and is measured; the region's others run in this
-process and talk to it over real links. Slopes: organisations (active ones, at 30
-hosts, on a holder of limits), hosts (of the region, on a holder), hosts_plain (on a
-host that holds none), and limit (requests a second that an organisation may send, on a
-holder). Arguments name some of them.
+The measured host runs as a separate process; the region's other hosts run in this
+process and reach it over real links. Slopes: organisations (active ones, at 30 hosts,
+on a holder of limits), hosts (of the region, on a holder), hosts_plain (on a host that
+holds none), and limit (requests per second that an organisation may send, on a holder).
+Arguments select slopes; all by default.
 """
 
 import sys
@@ -31,17 +31,21 @@
 from bronzepoint_schema.ids import HostName
 
 ORGANISATIONS = [0, 250, 500, 1000, 3000]
+"""Numbers of organisations that send requests."""
 HOSTS = [3, 8, 16, 30]
 PLAIN_HOSTS = [30, 24, 16, 8]
-"""In the smallest region each host is a holder."""
+"""Hosts of the region, without 3: in the smallest region every host is a holder."""
 LIMIT_RATES = [60, 10, 30, 120]
+"""Requests per second that an organisation may send."""
 _REGION_HOSTS = 30
+"""Hosts of the region where their number is not varied."""
 _ACTIVE = 250
+"""Active organisations where their number is not varied."""
 _HOST_MODULE = "bronzepoint_emulator.slopes._limits_host"
 
 
 class Row(Struct):
-    """One measurement."""
+    """Measurement of one host."""
 
     slope: str
     hosts: int
@@ -52,7 +56,7 @@
 
 
 class LimitsFeeder:
-    """Runs all hosts of a plan but the measured one.
+    """Runs all hosts of a plan except the measured one.
 
     Args:
         plan: The measurement.
@@ -93,11 +97,11 @@
     """Measure one size.
 
     Args:
-        slope: What is varied.
+        slope: Name of the varied size.
         hosts: Hosts of the region.
         active: Organisations that send requests.
         holder: Whether the measured host is one of the holders of limits.
-        limit: Requests a second that an organisation may send.
+        limit: Requests per second that an organisation may send.
     """
     names = [f"{MEASURED_REGION}-{number}" for number in range(hosts)]
     order = ranked("limits", [HostName(name) for name in names])
@@ -113,7 +117,7 @@
 
 
 async def measure_all(slopes: list[str]) -> None:
-    """Measure the rows of some slopes (all by default) and print each."""
+    """Measure the given slopes (all by default) and print each row."""
     rate = LIMIT_RATE
     sizes = [("organisations", _REGION_HOSTS, n, True, rate) for n in ORGANISATIONS]
     sizes += [("hosts", hosts, _ACTIVE, True, rate) for hosts in HOSTS]
--- a/packages/emulator/src/bronzepoint_emulator/slopes/membership.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/membership.py
@@ -1,8 +1,8 @@
-"""``python -m bronzepoint_emulator.slopes.membership``: cost of knowing the others.
+"""``python -m bronzepoint_emulator.slopes.membership``: cost of membership.
 
-One host runs alone in a process and is measured; all others run in this process and
-talk to it over the real links. Slopes: hosts (of the region), regions, relay (a relay
-host against the regions), targets. Arguments name some of them.
+The measured host runs as a separate process; all others run in this process and reach
+it over real links. Slopes: hosts (of the region), regions, relay (regions, measured on
+a relay host), targets. Arguments select slopes; all by default.
 """
 
 import sys
@@ -27,12 +27,14 @@
 REGIONS = [1, 3, 6, 12]
 TARGETS = [0, 2, 8, 24, 96]
 _REGION_HOSTS = 30
+"""Hosts of the measured region where their number is not varied."""
 _REMOTE_HOSTS = 6
+"""Hosts of each other region."""
 _HOST_MODULE = "bronzepoint_emulator.slopes._membership_host"
 
 
 class Row(Struct):
-    """One measurement."""
+    """Measurement of one host."""
 
     slope: str
     hosts: int
@@ -47,9 +49,9 @@
     """Measure one size.
 
     Args:
-        slope: What is varied.
+        slope: Name of the varied size.
         hosts: Hosts of the measured region.
-        regions: Regions, the measured one included.
+        regions: Regions, including the measured one.
         targets: Targets of the measured region.
         relay: Whether the measured host is one of its region's relays.
     """
@@ -69,7 +71,7 @@
 
 
 async def measure_all(slopes: list[str]) -> None:
-    """Measure the rows of some slopes (all by default) and print each."""
+    """Measure the given slopes (all by default) and print each row."""
     sizes = [("hosts", hosts, 1, 0, False) for hosts in HOSTS]
     sizes += [("regions", _REGION_HOSTS, n, 0, False) for n in REGIONS]
     sizes += [("relay", _REGION_HOSTS, n, 0, True) for n in REGIONS]
--- a/packages/emulator/src/bronzepoint_emulator/slopes/orders.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/orders.py
@@ -1,8 +1,8 @@
-"""``python -m bronzepoint_emulator.slopes.orders``: cost of looking at engines.
+"""``python -m bronzepoint_emulator.slopes.orders``: cost of polling engines.
 
-The lease holder's orders run in this process, the stand-in engines in another. All
-engines have the wanted version, so what is measured is the looking; it goes on all the
-time, orders are rare.
+The lease holder's orders run in this process, the stub engines in another. All engines
+already have the wanted version, so only the polling is measured: it is continuous,
+whereas orders are rare.
 """
 
 import subprocess
@@ -38,19 +38,21 @@
 
 ENGINES = [0, 12, 25, 50, 100]
 SECONDS = 15.0
+"""Duration of a measurement."""
 REGION = RegionName("bkk")
 DATA_CENTER = DataCenterName("bkk-a")
 VERSION = "1"
 ALL_EACH_SECOND = OrdersSection(poll=1.0, polls_per_second=1000.0)
+"""Settings with which every engine is polled once per second."""
 
 
 class Row(Struct):
-    """One measurement.
+    """Measurement of one number of engines.
 
     Attributes:
-        engines: Engines that are looked at.
-        looks: Looks a second that were made.
-        processor_ms: Processor time a second.
+        engines: Number of engines polled.
+        looks: Polls per second.
+        processor_ms: Processor time per second (ms).
     """
 
     engines: int
@@ -58,20 +60,20 @@
     processor_ms: float
 
 
-class HeldLease:
-    """An agreement whose lease this host always holds."""
+class PermanentLease:
+    """An agreement in which this host always holds the lease."""
 
     def lease(self) -> FencingNumber | None:
         """Return the lease's number."""
         return FencingNumber(1)
 
     def leader_age(self) -> float | None:
-        """Return that the catalogue is current."""
+        """Return 0: the catalogue is always current."""
         return 0.0
 
 
-class FixedView:
-    """A catalogue of one entry."""
+class FixedCatalogue:
+    """A fixed catalogue of one entry."""
 
     ready = True
 
@@ -86,19 +88,19 @@
 
 
 class CountingClient(EngineClient):
-    """Counts the looks."""
+    """Counts the polls."""
 
-    looks = 0
+    polls = 0
 
     async def state(self, target: Target) -> object:
-        """Look, and count."""
-        self.looks += 1
+        """Poll an engine and count the poll."""
+        self.polls += 1
         return await super().state(target)
 
 
 @contextmanager
 def running_engines(count: int):
-    """Run stand-in engines in a process; gives their targets."""
+    """Run stub engines in a process and yield their targets."""
     names = [f"{REGION}-engine-{number}" for number in range(count)]
     addresses = free_addresses(names)
     specs = [
@@ -129,20 +131,22 @@
 
 
 async def measure(targets: list[Target]) -> Row:
-    """Look at the engines for a while, and count."""
-    orders = Orders(HeldLease(), FixedView(targets), Metrics(), ALL_EACH_SECOND)
+    """Poll the engines for ``SECONDS`` and measure."""
+    orders = Orders(
+        PermanentLease(), FixedCatalogue(targets), Metrics(), ALL_EACH_SECOND
+    )
     client = orders._client = CountingClient(ALL_EACH_SECOND.timeout)
     await orders.start()
     while any(engine.phase != "current" for engine in orders.status().engines) or (
         targets and not orders.status().engines
     ):
         await curio.sleep(0.1)
-    looks, processor, began = client.looks, time.process_time(), time.monotonic()
+    polls, processor, began = client.polls, time.process_time(), time.monotonic()
     await curio.sleep(SECONDS)
     spent = time.monotonic() - began
     row = Row(
         engines=len(targets),
-        looks=(client.looks - looks) / spent,
+        looks=(client.polls - polls) / spent,
         processor_ms=(time.process_time() - processor) * 1000 / spent,
     )
     await orders.close()
--- a/packages/emulator/src/bronzepoint_emulator/slopes/run_once.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/run_once.py
@@ -1,9 +1,9 @@
 """``python -m bronzepoint_emulator.slopes.run_once``: cost of run-once records.
 
-Each row is a process of its own, with all hosts of one region in it and real sockets
-between them, so processor time is that of the claiming host and of all copies
-together. Varied: hosts in the region, records held, claims at once with a disk, bytes
-of the kept answer, and records that a host without memory reads back.
+Each row runs in a separate process with all hosts of one region and real sockets
+between them, so the processor time covers the claiming host and all copies. Varied:
+hosts in the region, stored records, concurrent claims with and without disks, bytes of
+the stored answer, and records that a host without stored state reads back.
 """
 
 import subprocess
@@ -24,36 +24,42 @@
 
 HOSTS = [3, 6, 12, 30]
 HELD = [0, 3_000, 10_000, 30_000]
+"""Numbers of stored records."""
 AT_ONCE = [1, 4, 16, 64]
+"""Numbers of concurrent claims."""
 ANSWER_BYTES = [0, 256, 1024, 4096, 16384]
 READ_BACK = [300, 1_000, 3_000, 10_000]
+"""Numbers of records that a host reads back."""
 CALLS = 1_000
-FILLERS = 32
+"""Number of measured calls."""
+FILL_CONCURRENCY = 32
+"""Concurrent calls while filling the store."""
 DIGEST = bytes(32)
 TYPICAL_ANSWER = 256
+"""Bytes of an answer where its size is not varied."""
 
 
 class Plan(Struct):
-    """One row: what is varied, and its value."""
+    """Name and value of the varied size."""
 
     slope: str
     value: int
 
 
 class Row(Struct):
-    """Figures of one row; of a claim and its outcome, unless said otherwise.
+    """Figures of one row; per claim with its outcome unless stated otherwise.
 
     Attributes:
-        slope: What is varied.
-        value: Its value.
-        p50_ms: Median time of a claim with its outcome.
-        p99_ms: The 99th percentile.
-        processor_us: Processor time of all hosts together.
+        slope: Name of the varied size.
+        value: Value of the varied size.
+        p50_ms: Median duration (ms).
+        p99_ms: 99th percentile of the duration (ms).
+        processor_us: Processor time of all hosts (µs).
         messages: Messages between hosts.
         bytes: Bytes of these messages.
-        syncs: Syncs of all disks together.
-        register_bytes: Memory of one register in one copy; 0: not measured.
-        read_seconds: Time in which a host without memory read its registers back.
+        syncs: Disk syncs of all hosts.
+        register_bytes: Memory per register and copy; 0 if not measured.
+        read_seconds: Time for a host without stored state to read its registers back.
         read_bytes: Bytes that it read.
     """
 
@@ -71,13 +77,13 @@
 
 
 async def call_once(region: RunOnceRegion, host: HostName, size: int) -> float:
-    """Claim a new key, record an answer, and return the seconds that both took."""
+    """Claim a new key, record an answer and return the duration (s)."""
     run_once = region.hosts[host]
     key = IdempotencyKey(str(uuid_utils.uuid7()))
     began = time.perf_counter()
     result = await run_once.claim(key, DIGEST, RequestId(f"{host}.{key}"))
     if not isinstance(result, Claimed):
-        raise RuntimeError(f"the claim came to {result}")
+        raise RuntimeError(f"expected a claim, got {result}")
     await run_once.finish(result.token, StoredAnswer(200, bytes(size)))
     return time.perf_counter() - began
 
@@ -85,7 +91,7 @@
 async def call_many(
     region: RunOnceRegion, calls: int, at_once: int, size: int
 ) -> list[float]:
-    """Make calls over all hosts, so many at once; return the time of each."""
+    """Make concurrent calls round robin over all hosts; return sorted durations."""
     numbers = iter(range(calls))
     times: list[float] = []
 
@@ -103,14 +109,14 @@
 async def measure_calls(
     region: RunOnceRegion, plan: Plan, at_once: int, size: int
 ) -> Row:
-    """Make calls and return what each cost."""
+    """Make calls and return the cost of one."""
     await call_many(region, len(region.names) * 3, at_once, size)
     names = ["peers.sent", "peers.sent_bytes", "run_once.log.syncs"]
     before = [region.counter(name) for name in names]
     processor = time.process_time()
     times = await call_many(region, CALLS, at_once, size)
     processor = time.process_time() - processor
-    grown = [
+    growth = [
         (region.counter(name) - count) / CALLS
         for name, count in zip(names, before, strict=True)
     ]
@@ -120,35 +126,35 @@
         p50_ms=times[len(times) // 2] * 1e3,
         p99_ms=times[len(times) * 99 // 100] * 1e3,
         processor_us=processor / CALLS * 1e6,
-        messages=grown[0],
-        bytes=grown[1],
-        syncs=grown[2],
+        messages=growth[0],
+        bytes=growth[1],
+        syncs=growth[2],
     )
 
 
 async def measure_held(plan: Plan) -> Row:
-    """Return the cost of a call while so many records are held on each host."""
+    """Return the cost of a call with stored records on each host."""
     region = await RunOnceRegion(3).start()
     before = resident_memory(_own_pid())
-    await call_many(region, plan.value, FILLERS, TYPICAL_ANSWER)
-    grown = resident_memory(_own_pid()) - before
+    await call_many(region, plan.value, FILL_CONCURRENCY, TYPICAL_ANSWER)
+    growth = resident_memory(_own_pid()) - before
     row = await measure_calls(region, plan, 1, TYPICAL_ANSWER)
     if plan.value:
-        row.register_bytes = grown / (3 * plan.value)
+        row.register_bytes = growth / (3 * plan.value)
     await region.close()
     return row
 
 
 async def measure_read_back(plan: Plan) -> Row:
-    """Return how long a host that lost so many registers takes to read them back."""
+    """Return the time for a restarted host to read back its lost registers."""
     region = await RunOnceRegion(3).start()
-    await call_many(region, plan.value, FILLERS, TYPICAL_ANSWER)
-    victim = region.names[0]
-    await region.stop(victim)
+    await call_many(region, plan.value, FILL_CONCURRENCY, TYPICAL_ANSWER)
+    restarted = region.names[0]
+    await region.stop_host(restarted)
     sent = region.counter("peers.sent_bytes")
     began = time.perf_counter()
-    await region.boot(victim)
-    while not region.hosts[victim].recovered:
+    await region.start_host(restarted)
+    while not region.hosts[restarted].recovered:
         await curio.sleep(POLL)
     row = Row(plan.slope, plan.value, read_seconds=time.perf_counter() - began)
     row.read_bytes = region.counter("peers.sent_bytes") - sent
@@ -172,7 +178,7 @@
         case "answer_bytes":
             region, at_once, size = RunOnceRegion(3), 1, plan.value
         case _:
-            raise ValueError(f"no slope is named {plan.slope}")
+            raise ValueError(f"unknown slope: {plan.slope}")
     await region.start()
     row = await measure_calls(region, plan, at_once, size)
     await region.close()
@@ -184,7 +190,7 @@
 
 
 def main() -> None:
-    """Print one JSON line for each row; with a plan, measure that row alone."""
+    """Print one JSON line per row; with a plan as argument, only its row."""
     if len(sys.argv) > 1:
         plan = msgspec.json.decode(sys.argv[1], type=Plan)
         with tempfile.TemporaryDirectory() as folder:
--- a/packages/emulator/src/bronzepoint_emulator/slopes/spread.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/spread.py
@@ -1,8 +1,8 @@
-"""``python -m bronzepoint_emulator.slopes.spread``: time until a change is in force.
+"""``python -m bronzepoint_emulator.slopes.spread``: propagation of a change.
 
-All hosts run in this process over the real links; messages between regions take their
-trip. One row for each number of hosts: how long until a change is accepted, and until
-the last host serves on it.
+All hosts run in this process over real links, with delayed messages between regions.
+Each row has, for one number of hosts, the time until a change is accepted and until it
+is in effect on the last host.
 """
 
 import sys
@@ -21,27 +21,30 @@
 from bronzepoint_schema.ids import ChangeId, OperatorName, OwnerName
 
 SIZES = [(9, 3), (36, 12), (60, 12), (90, 12)]
-"""Hosts and regions. With 180 hosts the one process that runs them all can no longer
-keep up with their connections, so it would measure itself."""
-TRIP = 0.03
+"""Pairs of numbers of hosts and regions. With 180 hosts, the process that runs them all
+cannot keep up with their connections, so the results would be distorted."""
+REGION_DELAY = 0.03
+"""One-way delay between regions in seconds."""
 _CHANGES = 40
+"""Number of measured changes."""
 _TIMEOUT = 60.0
+"""Seconds for all hosts to become ready, and for a change to be accepted."""
 
 
 class SpreadRow(Struct):
-    """One measurement; times in milliseconds.
+    """Measurement of one size; times in milliseconds.
 
     Attributes:
-        hosts: How many.
-        regions: Over how many regions.
-        trip: One-way trip between regions.
-        accepted_p50: Until a change was accepted, from the first host.
-        accepted_max: The longest.
-        in_force_p50: From acceptance until the last host served on it.
-        in_force_max: The longest.
-        oldest_confirmation: Longest time since the leader's confirmation on any host,
-            while idle.
-        most_children: Hosts that learn from one.
+        hosts: Number of hosts.
+        regions: Number of regions.
+        trip: One-way delay between regions.
+        accepted_p50: Median time until a change by the first host was accepted.
+        accepted_max: Longest time until acceptance.
+        in_force_p50: Median time from acceptance until in effect on the last host.
+        in_force_max: Longest time from acceptance until in effect on the last host.
+        oldest_confirmation: Longest time since the leader's last confirmation on any
+            host, while idle.
+        most_children: Maximum number of hosts that poll the same host.
     """
 
     hosts: int
@@ -55,7 +58,7 @@
     most_children: int
 
 
-async def measure(hosts: int, regions: int, trip: float = TRIP) -> SpreadRow:
+async def measure(hosts: int, regions: int, trip: float = REGION_DELAY) -> SpreadRow:
     """Measure one size."""
     with tempfile.TemporaryDirectory() as folder:
         site = SpreadSite(hosts, regions, trip, Path(folder))
@@ -79,7 +82,7 @@
 
 
 async def _change(site: SpreadSite, number: int) -> tuple[float, float]:
-    """Return the seconds until accepted, and from there until in force everywhere."""
+    """Return the seconds until acceptance, and from then until in effect."""
     item = OwnerItem(OwnerName(f"owner-{number}"), limits=Limits(rate=1.0))
     change_id = ChangeId(str(uuid_utils.uuid7()))
     change = Change(change_id, OperatorName("slopes"), 1, Put(item))
@@ -102,7 +105,7 @@
 
 
 def main() -> None:
-    """Print one JSON line for each size, or for the sizes given as arguments."""
+    """Print one JSON line per size; arguments select numbers of hosts."""
     wanted = [int(argument) for argument in sys.argv[1:]]
     for hosts, regions in SIZES:
         if not wanted or hosts in wanted:
--- a/packages/emulator/src/bronzepoint_emulator/slopes/system.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/system.py
@@ -1,7 +1,7 @@
-"""``python -m bronzepoint_emulator.slopes.system``: cost against a deployment's load.
+"""``python -m bronzepoint_emulator.slopes.system``: cost by a deployment's load.
 
-Nine daemons; the caller's host, a copy in its region and the leader are measured while
-one size grows: changes, requests, saved calls, organisations, entries.
+Runs nine daemons. The caller's host, another host in its region and the leader are
+measured while one size grows: changes, requests, saved calls, organisations, entries.
 """
 
 import os
@@ -30,12 +30,17 @@
 from bronzepoint_schema.generated.catalogue import CatalogueItem
 
 ENTRY_HOST = "bkk-3"
-OTHER_HOST = "bkk-2"
+SAME_REGION_HOST = "bkk-2"
 IDLE_SECONDS = 10.0
+"""Duration of a measurement without load."""
 LOAD_SECONDS = 10.0
+"""Duration of a load."""
 SETTLE_SECONDS = 2.0
+"""Time measured after a load, for copies and logs that are still written."""
 REQUEST_RATES = [5.0, 10.0, 20.0, 40.0]
+"""Requests per second."""
 CHANGE_RATES = [1.0, 2.0, 4.0, 8.0]
+"""Changes per second."""
 ORGANISATIONS = [0, 500, 1000, 2000, 3000]
 ENTRIES = [0, 50, 100, 200, 400]
 
@@ -44,8 +49,8 @@
     """Measures one deployment.
 
     Args:
-        deployment: It runs and its catalogue is in force.
-        report: Told of each row.
+        deployment: Running deployment with its catalogue in effect.
+        report: Called with each row.
     """
 
     def __init__(
@@ -54,14 +59,14 @@
         self._deployment = deployment
         self._report = report
         leader = deployment.operator().status()["leader"]
-        roles = {"entry": ENTRY_HOST, "other": OTHER_HOST, "leader": leader}
+        roles = {"entry": ENTRY_HOST, "other": SAME_REGION_HOST, "leader": leader}
         self._meters = {
             role: HostMeter(deployment, host) for role, host in roles.items()
         }
         self._idle: dict[str, Usage] = {}
 
     def measure(self) -> None:
-        """Measure every slope."""
+        """Measure all slopes."""
         self._measure_idle()
         for name, call in (("chat", chats), ("lookup", lookups), ("save", saves)):
             for rate in REQUEST_RATES:
@@ -75,7 +80,7 @@
         return entry_items(self._deployment, first, last)
 
     def _measure_idle(self) -> None:
-        for role, use in self._over(lambda: 0, IDLE_SECONDS).items():
+        for role, use in self._use_during(lambda: 0, IDLE_SECONDS).items():
             self._idle[role] = use
             self._report(SystemRow("idle", role, 0.0, 0, use))
 
@@ -98,10 +103,10 @@
 
     def _report_above_idle(self, slope: str, rate: float, work: Callable) -> None:
         counted: list[int] = []
-        uses = self._over(lambda: counted.append(work()), SETTLE_SECONDS)
+        uses = self._use_during(lambda: counted.append(work()), SETTLE_SECONDS)
         for role, use in uses.items():
-            above = use.above(self._idle[role])
-            self._report(SystemRow(slope, role, rate, counted[0], above))
+            minus_idle = use.minus_idle(self._idle[role])
+            self._report(SystemRow(slope, role, rate, counted[0], minus_idle))
 
     def _measure_items(
         self,
@@ -109,7 +114,7 @@
         sizes: list[int],
         items: Callable[[int, int], list[CatalogueItem]],
     ) -> None:
-        """Declare more and more items, and measure the hosts while idle."""
+        """Declare an increasing number of items and measure the idle hosts."""
         operator = self._deployment.operator(ENTRY_HOST)
         declared = 0
         for size in sizes:
@@ -118,21 +123,23 @@
                 revision = operator.put(item)
             declared = size
             self._deployment.wait_revision(revision)
-            for role, use in self._over(lambda: 0, IDLE_SECONDS).items():
+            for role, use in self._use_during(lambda: 0, IDLE_SECONDS).items():
                 self._report(SystemRow(slope, role, float(size), 0, use))
 
-    def _over(self, work: Callable[[], object], settle: float) -> dict[str, Usage]:
-        """Return each host's use during some work and a while after it."""
+    def _use_during(
+        self, work: Callable[[], object], settle: float
+    ) -> dict[str, Usage]:
+        """Return each host's use during some work and ``settle`` seconds after it."""
         for meter in self._meters.values():
             meter.begin()
         work()
-        # Copies and logs trail behind the answers.
+        # Copies and logs are written after the answers.
         time.sleep(settle)
         return {role: meter.end() for role, meter in self._meters.items()}
 
 
 def measure_system(report: Callable[[SystemRow], None]) -> None:
-    """Measure every slope on Saphan's deployment."""
+    """Measure all slopes on Saphan's deployment."""
     with Deployment(saphan()) as deployment:
         System(deployment, report).measure()
 
@@ -142,7 +149,7 @@
         Path("docs/measurements")
     ),
 ) -> None:
-    """Measure and write the table and the rows."""
+    """Measure all slopes and write the table and the rows."""
     rows: list[SystemRow] = []
 
     def report(row: SystemRow) -> None:
