--- a/packages/common/src/bronzepoint_common/http/_errors.py
+++ b/packages/common/src/bronzepoint_common/http/_errors.py
@@ -115,7 +115,7 @@
 
     def __init__(self, address: str) -> None:
         super().__init__(
-            f"the answer of {address} is truncated: discard it, send again if the "
+            f"{address} cut its answer: don't use the part, ask again if the "
             "request is idempotent"
         )
 
--- a/packages/common/src/bronzepoint_common/loop_watch.py
+++ b/packages/common/src/bronzepoint_common/loop_watch.py
@@ -56,7 +56,7 @@
             late = now - began - INTERVAL
             self._metrics.timing("loop.late_ms", late * 1000)
             if self.lag.record(late, now):
-                message = "lags" if self.lag.is_lagging else "no longer lags"
+                message = "lags" if self.lag.is_lagging else "lags no more"
                 _log.warning(message, average=round(self.lag.seconds, 3))
             if late < MIN_LOGGED_DELAY or now < next_line_at:
                 continue
--- a/packages/common/src/bronzepoint_common/peers/_errors.py
+++ b/packages/common/src/bronzepoint_common/peers/_errors.py
@@ -27,7 +27,7 @@
         super().__init__(
             peer,
             f"host {peer} did not answer within {timeout:g} s; check whether it is "
-            "reachable, then try again",
+            "reachable, then ask again",
         )
 
 
