--- a/packages/node/src/bronzepoint_node/placement/_ask.py
+++ b/packages/node/src/bronzepoint_node/placement/_ask.py
@@ -14,7 +14,7 @@
     """A request that is waiting to be placed.
 
     Attributes:
-        forwarded: Another region forwarded it; it is not forwarded again.
+        forwarded: Another region forwarded it; it is served in this region or refused.
         time_left: Seconds until its deadline.
         tried: Targets that it was already sent to.
         tried_hosts: Hosts of other regions that it was already forwarded to.
--- a/packages/node/src/bronzepoint_node/placement/_fetch_source.py
+++ b/packages/node/src/bronzepoint_node/placement/_fetch_source.py
@@ -8,7 +8,8 @@
 SETUP_TIME = 0.004
 """Fixed overhead of a copy in seconds, in addition to the transfer time."""
 MIN_TOKENS = 64
-"""Fewer tokens are read faster than a copy is set up."""
+"""Smallest number of tokens worth copying. Fewer are read in less time than it takes to
+set up a copy."""
 
 
 def fetch_source(
@@ -18,7 +19,9 @@
     rate: float,
     now: float,
 ) -> TrackedTarget | None:
-    """Return the target to copy from; None if reading is as fast.
+    """Return the target to copy from.
+
+    It is None if reading is as fast, or if no other target caches more of the prompt.
 
     Copying a part takes a fraction of the time and of the cost of reading it. This
     matters when an engine has restarted with an empty cache, or when the target that
--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -246,7 +246,10 @@
         return [host for host in fresh if not host.lagging] or fresh
 
     def _sent_since(self, load: RegionLoad, now: float) -> float:
-        """Return the requests that this region has sent since another's load report.
+        """Estimate the requests forwarded to a region since its last load report.
+
+        This host's own are counted, and each other host of this region is assumed to
+        have forwarded as many.
 
         Answered requests are excluded. A service with short requests can receive more
         of them between two reports than it has slots, so that an idle region would look
--- a/packages/node/src/bronzepoint_node/policy/_choose_region.py
+++ b/packages/node/src/bronzepoint_node/policy/_choose_region.py
@@ -15,7 +15,7 @@
 """Age from which the summary of another region is ignored."""
 _MAX_RETURN_LOSS = 0.2
 """Additional loss, as a share of the worth, up to which requests are still forwarded
-while the forwarded share falls."""
+while the forwarded share falls, so that the load returns to this region slowly."""
 
 
 class RegionTerms(Struct):
--- a/packages/node/src/bronzepoint_node/policy/_token_bucket.py
+++ b/packages/node/src/bronzepoint_node/policy/_token_bucket.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 BURST = 1.0
-"""Size of a bucket, in seconds of its rate."""
+"""Seconds of the rate that may be used at once after a pause: the size of a bucket."""
 _MAX_DEBT_SECONDS = 10.0
 """Largest debt that a correction may leave, in seconds of the rate."""
 
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -150,9 +150,10 @@
     def test_body_that_takes_long_on_a_narrow_link_stays(self, size, link, expected):
         """Guards against late answers to long prompts that were forwarded.
 
-        A prompt of 37 KB is sent over a link of 5 Mbit/s and received over another one.
-        If only the round trip is counted, it is forwarded although its own region would
-        answer within the objective.
+        Nearly all late answers were to forwarded requests. A prompt of 37 KB is sent
+        over a link of 5 Mbit/s and received over another one. If only the round trip is
+        counted, it is forwarded although its own region would answer within the
+        objective.
         """
         site = Site(info("t1"))
         site.remote_loads(b=0)
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -364,10 +364,11 @@
         self.assertLessEqual(waiting - refused, 25)
 
     def test_queue_drains_as_fast_as_capacity_frees_up(self):
-        """Guards against requests that wait and are refused beside idle targets.
+        """Guards against requests that are refused while targets are idle.
 
         A region is full, 24 requests are queued, and all running ones end at once. If
-        each check serves only the first three requests, the others wait.
+        each check serves only the first three requests, the others wait for half of
+        their objective and are then refused.
         """
 
         async def main():
--- a/tests/test_policy_regions.py
+++ b/tests/test_policy_regions.py
@@ -140,7 +140,10 @@
         self.assertFalse(backoff.is_paused(backoff.until))
 
     def test_one_probe_after_a_pause(self):
-        """Only one request must be risked after a pause on a link that may be down."""
+        """Only one request is risked after a pause on a link that may still be down.
+
+        Without the probe, many requests would hang at the end of each pause.
+        """
         backoff, rng = RegionBackoff(), Random(1)
         backoff.record_refusal(0.0, rng, 2.0)
         after = backoff.until
--- a/tests/test_targets_leaving.py
+++ b/tests/test_targets_leaving.py
@@ -135,7 +135,8 @@
 
     The operator, the platform or the target itself gives notice, while the other two
     sources lag and still show it as live. If the newest or the most frequent state of
-    all sources counted, requests would be sent to a target that is shutting down.
+    all sources counted, requests would be sent to a target that is shutting down, and
+    their answers would be cut off.
     """
 
     def test_by_operator(self) -> None:
