--- a/packages/node/src/bronzepoint_node/placement/_engine_load.py
+++ b/packages/node/src/bronzepoint_node/placement/_engine_load.py
@@ -9,10 +9,10 @@
 from ._load_sum import RANK_COUNT, CurrentPrompt, LoadSum
 
 NOTICE_EXPIRY = 3.0
-"""Seconds after which the last report of a host is ignored."""
+"""Seconds after which the last report of a host is ignored, if no newer one arrives."""
 RESERVATION_EXPIRY = 1.0
-"""Seconds for which a granted request counts without a report of its host. A live host
-has reported all its requests in progress by then."""
+"""Seconds for which a granted request counts without a report from its host. A live
+host has reported all its requests in progress by then."""
 
 
 @dataclass
--- a/packages/node/src/bronzepoint_node/placement/_load_sum.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_sum.py
@@ -8,7 +8,8 @@
 from bronzepoint_schema.generated.target_loads import TargetLoad
 
 RANK_COUNT = 4
-"""Number of distinct ranks; higher ranks are less urgent and count as the last one."""
+"""Number of ranks that are distinguished. Requests of a less urgent rank count with the
+last one."""
 
 
 class CurrentPrompt(Struct, frozen=True):
--- a/packages/node/src/bronzepoint_node/placement/_pace.py
+++ b/packages/node/src/bronzepoint_node/placement/_pace.py
@@ -6,7 +6,7 @@
 """Seconds after which the weight of a measurement has decayed to a third. A prompt of
 50,000 tokens is read in about one second, during which writing is four times slower."""
 MIN_EVENTS = 20.0
-"""Decayed number of events below which the pace is unknown."""
+"""Number of events, weighted by their age, below which the pace is unknown."""
 
 
 class Pace:
--- a/packages/node/src/bronzepoint_node/placement/_picture_age.py
+++ b/packages/node/src/bronzepoint_node/placement/_picture_age.py
@@ -5,7 +5,7 @@
 from ._engine_load import NOTICE_EXPIRY
 
 MAX_AGE = NOTICE_EXPIRY
-"""Seconds; older reports are ignored, so no choice depends on them."""
+"""Largest age in seconds: older reports are ignored, so no choice depends on them."""
 
 
 class StalenessBound:
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -35,7 +35,7 @@
 region that caches them. Fewer tokens are read in less than a round trip."""
 SLOW_TARGET_WAIT = 1.0
 """Seconds after which a caller retries when all targets write too slowly. Reading the
-longest prompts takes that long, and the pace measurement hardly covers more."""
+longest prompts takes that long, and the measured pace covers little more time."""
 
 
 class Placer:
--- a/packages/node/src/bronzepoint_node/placement/_reading_rate.py
+++ b/packages/node/src/bronzepoint_node/placement/_reading_rate.py
@@ -5,7 +5,8 @@
 INITIAL_RATE = 35_000.0
 """Tokens per second, until the first prompts have been measured."""
 MIN_TOKENS = 1500
-"""Shorter prompts measure the pace of the batch rather than the reading rate."""
+"""Prompt tokens below which the time measures the pace of the batch rather than the
+reading rate."""
 SMOOTHING = 0.1
 """Weight of a new measurement in the moving average."""
 
@@ -13,8 +14,8 @@
 class ReadingRate(Struct):
     """Moving average over the engines of one service, in tokens per second.
 
-    Only prompts that are read at once count. For queued ones most of the time is
-    waiting, and a rate that is too low makes every engine look busy.
+    Only prompts with hardly any tokens queued ahead of them count. For the others most
+    of the time is waiting, and a rate that is too low makes every engine look busy.
     """
 
     tokens_per_second: float = INITIAL_RATE
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -44,8 +44,9 @@
     """Places the requests of all hosts from the state of one, urgent ones first.
 
     If many hosts choose with slightly outdated data, all choose the target that was
-    idle before. It is overloaded, and refuses or preempts requests, while others are
-    idle. When one host chooses for all, every choice includes the previous ones.
+    idle before. That target is then overloaded, and refuses or preempts requests, while
+    others are idle. When one host chooses for all, every choice includes the previous
+    ones.
 
     Args:
         name: This host.
--- a/packages/node/src/bronzepoint_node/placement/_service_estimates.py
+++ b/packages/node/src/bronzepoint_node/placement/_service_estimates.py
@@ -16,7 +16,7 @@
 
 
 class ServiceEstimates:
-    """Moving estimates for each service, learned from the requests sent to it.
+    """Running estimates for each service, learned from the requests sent to it.
 
     Attributes:
         first_tokens: Times to the first token measured by this host, and not reported
--- a/packages/node/src/bronzepoint_node/policy/_admission.py
+++ b/packages/node/src/bronzepoint_node/policy/_admission.py
@@ -25,7 +25,7 @@
 Pool = frozenset[TargetName]
 """Targets whose waiting requests share a queue, whatever their entries."""
 TryPlace = Callable[[float], Placement | None]
-"""Tries to place a request, given the number queued before it; None: must wait."""
+"""Tries to place a request, given the number queued before it; None: it waits."""
 StartInterval = Callable[[], float]
 """Returns the expected seconds between the starts of two queued requests."""
 
--- a/packages/node/src/bronzepoint_node/policy/_choose_target.py
+++ b/packages/node/src/bronzepoint_node/policy/_choose_target.py
@@ -244,7 +244,7 @@
         # Free capacity exists only at a slow target: waiting for a slot elsewhere is
         # faster. The cache of a full target isn't counted here: requests would wait
         # for that target, and be refused, while others are idle.
-        reason = "a full target is sooner"
+        reason = "waiting for a full target is faster"
         return TargetChoice(None, candidates, reason, len(usable))
     best = min(scored.score for scored in with_capacity)
     near = [scored for scored in with_capacity if scored.score <= best + margin]
--- a/packages/node/src/bronzepoint_node/policy/_limits.py
+++ b/packages/node/src/bronzepoint_node/policy/_limits.py
@@ -42,7 +42,7 @@
 _EARLY_REPORT_TIMEOUT_SECONDS = 0.2
 """Longest wait of a request for a new grant where the old one would refuse it."""
 _MIN_REPORTED_DEMAND = 0.1
-"""Share of a host's equal share below which its demand isn't reported. All hosts
+"""Fraction of a host's equal share below which its demand isn't reported. All hosts
 together admit at most this share of the limit in addition to the grants."""
 _IDLE_SECONDS = 10.0
 """Time without requests after which the state of a limit is dropped."""
@@ -78,7 +78,7 @@
 
 
 class LimitTicket(Struct):
-    """What a request was charged against its limits.
+    """The charge of one request against its limits.
 
     Attributes:
         keys: limits that were charged.
--- a/packages/node/src/bronzepoint_node/targets/_leaving.py
+++ b/packages/node/src/bronzepoint_node/targets/_leaving.py
@@ -39,7 +39,7 @@
 
     @property
     def sources(self) -> list[str]:
-        """The sources by which it is leaving, always in the same order."""
+        """The sources that report it as leaving, always in the same order."""
         notices = [self._notices.get(source) for source in NoticeSource]
         sources = [n.source.value for n in notices if n and n.leaving]
         return ["operator", *sources] if self.by_operator else sources
@@ -49,7 +49,7 @@
 
         Args:
             source: Source of the notice.
-            leaving: Whether the target is leaving by that source.
+            leaving: Whether the target is leaving according to that source.
             as_of: Unix time of the notice by the clock of its source.
         """
         self._merge(TargetNotice(self._target, leaving, as_of, source))
@@ -102,7 +102,7 @@
     def _clear_own_notice(
         self, current: TargetNotice | None, notice: TargetNotice
     ) -> None:
-        """Let the host list clear the own notice of a target without load reports.
+        """Let the host list clear a target's own notice, if it sends no load reports.
 
         A plain service gives notices only in its answers, and gets no requests while
         it is leaving, so it could never cancel its notice. A list that showed it as
--- a/packages/node/src/bronzepoint_node/targets/_targets.py
+++ b/packages/node/src/bronzepoint_node/targets/_targets.py
@@ -128,7 +128,7 @@
         views = [each.view(hashes, now, unix_time) for each in tracked]
         if views and all(view.state is TargetState.unknown for view in views):
             # When no target can be reached, the polls themselves may be at fault. A
-            # try finds out, and one that can't connect has not run.
+            # try shows whether a target answers; one that can't connect has not run.
             for view in views:
                 view.state = TargetState.ready
         return views
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -128,7 +128,7 @@
 
 
 class CoreScheduler:
-    """The scheduler on a core host, which is also the peers object of its parts."""
+    """The scheduler on a core host, which also serves as the `peers` of its parts."""
 
     def __init__(self, region, name):
         self.region = region
@@ -167,7 +167,7 @@
 
 
 class Host:
-    """One entry host, which is also the peers object of its parts."""
+    """One entry host, which also serves as the `peers` of its parts."""
 
     def __init__(self, region, name):
         self.region = region
--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -52,7 +52,7 @@
 
 
 class Member:
-    """One entry host, which is also the peers object that its exchange posts to."""
+    """One entry host, which also serves as the `peers` that its exchange posts to."""
 
     def __init__(self, network, name):
         self.network = network
--- a/tests/test_targets_processes.py
+++ b/tests/test_targets_processes.py
@@ -67,7 +67,7 @@
 
 
 class TestLeaving(TargetCase):
-    """A target is leaving by one source while the other sources lag.
+    """One source reports that a target is leaving while the other sources lag.
 
     The load reports are late, or the host list still shows the target as live. If a
     host weighed the sources or used the one read last, requests would be sent to a
