--- a/packages/node/src/bronzepoint_node/decisions/_errors.py
+++ b/packages/node/src/bronzepoint_node/decisions/_errors.py
@@ -3,7 +3,8 @@
 from bronzepoint_schema.ids import RequestId
 
 RETRY_AFTER = 5.0
-"""Seconds after which a lookup may be retried if no host answered."""
+"""Seconds until a lookup to which no host replied is worth a retry: the hosts may reply
+again by then."""
 
 
 class WhyError(Exception):
--- a/packages/node/src/bronzepoint_node/entry/_forwarding.py
+++ b/packages/node/src/bronzepoint_node/entry/_forwarding.py
@@ -25,7 +25,7 @@
 
 MAX_HOSTS = 3
 """Hosts of one region that are tried, one after the other. Another host is tried only
-if nothing was sent to the one before."""
+if nothing can have been sent to the one before."""
 SERVICES_PATH = "/v1/services/"
 
 
