--- a/packages/node/src/bronzepoint_node/decisions/_backups.py
+++ b/packages/node/src/bronzepoint_node/decisions/_backups.py
@@ -41,8 +41,8 @@
     single requests. All records of a slot go to one host in one message, and each slot
     goes to a different host, so the load is even over minutes. The first host of each
     data center comes before the remaining hosts. The recorder chooses a backup outside
-    its own data center, and so a host that looks up a record finds the backup among
-    the first few hosts even if it doesn't know the recorder's data center.
+    its own data center. This order puts that backup among the first few hosts, where a
+    lookup finds it even on a host that doesn't know the recorder's data center.
 
     Args:
         hosts: Known hosts of the recorder's region.
--- a/packages/node/src/bronzepoint_node/decisions/_request_id.py
+++ b/packages/node/src/bronzepoint_node/decisions/_request_id.py
@@ -12,6 +12,7 @@
 """Low bits of the time in ms that a slot ignores. The backup host changes with each
 slot, every 2**16 ms or about a minute."""
 _TIME_HEX_DIGITS = 12
+"""Leading hex digits of a UUIDv7 that hold its time in milliseconds."""
 _PATTERN = re.compile(r"([^\s./]{1,64})\.([^\s./]{1,64})\.([0-9a-f]{32})")
 
 
@@ -20,8 +21,8 @@
 
     Attributes:
         host: The host that received the request from the caller.
-        region: The host's region. The backups are hosts of this region, and the region
-            of a host that was replaced can't be looked up in the membership for long.
+        region: The host's region. It is part of the identifier since the backups are
+            hosts of this region, and the membership soon forgets a replaced host.
         slot: The time slot in which the request arrived, which selects the backup.
     """
 
--- a/packages/node/src/bronzepoint_node/decisions/_segment.py
+++ b/packages/node/src/bronzepoint_node/decisions/_segment.py
@@ -18,7 +18,8 @@
 _COMPRESSION_LEVEL = 6
 """Compression level of zlib, from 0 to 9."""
 _OVERHEAD_BYTES = 300
-"""Memory in bytes of the objects around the packed bytes, as by sys.getsizeof."""
+"""Memory in bytes of the objects around the packed bytes, as reported by
+sys.getsizeof."""
 _KEY_BYTES = 8
 """Bytes of one 64-bit key."""
 
--- a/packages/node/src/bronzepoint_node/directory/_hosts_for_callers.py
+++ b/packages/node/src/bronzepoint_node/directory/_hosts_for_callers.py
@@ -7,10 +7,10 @@
 from bronzepoint_schema.ids import RegionName
 
 FALLBACK_MAX_AGE = 6.0
-"""Maximum seconds since the last report of a host that is returned if no other one may
-be. It is longer than a core host takes to receive reports of all hosts after a network
-partition or its own start, and shorter than the time after which the platform considers
-a returned host dead."""
+"""Maximum seconds since the last report of a host, to return it when no other host may
+be returned. It is longer than a core host takes to receive reports of all hosts after a
+network partition or its own start, and shorter than the time after which the platform
+considers a returned host dead."""
 
 MIN_SHARE = 1 / 3
 """Minimum share of a region's hosts that is returned. If all lagging hosts were
--- a/packages/node/src/bronzepoint_node/entry/_served_request.py
+++ b/packages/node/src/bronzepoint_node/entry/_served_request.py
@@ -18,7 +18,7 @@
     Attributes:
         entry: The entry in the catalogue view at the request's arrival.
         view: The properties of the request that the policy uses.
-        deadline: Seconds after arrival from which the first byte is of no use.
+        deadline: Seconds after arrival; the first byte is of no use after that.
         context: Context of a forwarded request; None: it came from its caller.
     """
 
--- a/packages/node/src/bronzepoint_node/quota/_account.py
+++ b/packages/node/src/bronzepoint_node/quota/_account.py
@@ -95,8 +95,8 @@
         self._refill_rate = min(rate, max_rate * share)
         self._restore_withheld(shares, used)
         new_share = shares.share_of(shares.unreachable - self._unreachable, used)
-        # Until this moment those regions used the quota without this limit, and they
-        # divide the same level among themselves.
+        # Until now those regions used the quota without this limit, and both sides
+        # divide the same level.
         withheld = new_share * (max(0.0, self._level) + rate * UNREACHABLE_AFTER)
         self._level -= withheld
         self._withheld += withheld
--- a/packages/node/src/bronzepoint_node/quota/_host_quota.py
+++ b/packages/node/src/bronzepoint_node/quota/_host_quota.py
@@ -21,7 +21,7 @@
 
     Args:
         name: The organisation.
-        rng: Source of the initial phase, which differs between hosts.
+        rng: Source of the initial admission credit, which differs between hosts.
 
     Attributes:
         unreported: Use that is not yet reported to the counter.
--- a/packages/node/src/bronzepoint_node/quota/_host_quotas.py
+++ b/packages/node/src/bronzepoint_node/quota/_host_quotas.py
@@ -132,8 +132,8 @@
         """Apply a counter's reply to the last report.
 
         Args:
-            reply: The answer.
-            asked: When the report was sent, in monotonic seconds.
+            reply: The reply.
+            sent_at: When the report was sent, in monotonic seconds.
         """
         self._unanswered = []
         self._last_contact_at = sent_at
--- a/packages/node/src/bronzepoint_node/quota/_ledger.py
+++ b/packages/node/src/bronzepoint_node/quota/_ledger.py
@@ -24,7 +24,8 @@
 """Seconds for which a share of each quota is reserved for an unreachable region, which
 may be partitioned and still serve its callers. After that it is considered failed."""
 WARM_UP = 2.0
-"""Seconds after its start in which a counter adopts levels known to others."""
+"""Seconds after its start in which a counter adopts the lower levels that hosts and
+other counters report."""
 LOW_LEVEL = 0.5
 """Share of a burst below which the level is sent to counters that have just started."""
 NEAR_QUOTA_SHARE = 0.5
@@ -129,7 +130,7 @@
             self._record_contact(region, now)
         counter_sums = self._counter_sums.get(counter)
         if counter_sums is None or counter_sums.started != sums.started:
-            # It may have just started, without the sums of this counter.
+            # It may have just started, and then it lacks the sums of this counter.
             self.full_sums_due = True
             if not sums.whole:
                 return
--- a/packages/node/src/bronzepoint_node/quota/_rate_meter.py
+++ b/packages/node/src/bronzepoint_node/quota/_rate_meter.py
@@ -3,7 +3,8 @@
 import math
 
 TIME_CONSTANT = 1.0
-"""Time constant in seconds: the weight of an amount falls to about a third (1/e)."""
+"""Time constant in seconds, after which an amount has about a third (1/e) of its
+weight."""
 
 
 class RateMeter:
--- a/packages/node/src/bronzepoint_node/quota/_tolerance.py
+++ b/packages/node/src/bronzepoint_node/quota/_tolerance.py
@@ -6,7 +6,7 @@
 
 
 class Tolerance(Struct, frozen=True):
-    """Use beyond quotas that operators tolerate, as hosts exchange their use late.
+    """Use beyond quotas that operators tolerate, as hosts learn of others' use late.
 
     Attributes:
         window: Seconds over which use is measured.
@@ -23,5 +23,5 @@
         return self.excess * (quota.rate * self.window + quota.burst) + self.slack
 
     def rate(self, quota: Quota) -> float:
-        """Return the units per second beyond a quota that are always tolerated."""
+        """Return the units per second beyond a quota that are tolerated permanently."""
         return self.excess * quota.rate + self.slack / self.window
--- a/packages/node/src/bronzepoint_node/relay/_call.py
+++ b/packages/node/src/bronzepoint_node/relay/_call.py
@@ -103,7 +103,7 @@
         events: Splitter of the stream that is sent to the caller.
         prior_wait: Estimated seconds that the caller had waited before this request.
         fingerprints: Fingerprints of the request, the same when it is repeated.
-        suspect: True if it was running during several target crashes.
+        suspect: True if several targets crashed while it was in progress there.
         has_permit: True if a core host has permitted a trial of this suspect request.
         organisation: Organisation of the caller; None: unknown caller.
         version: Version of the catalogue that the organisation was last looked up in.
@@ -181,8 +181,9 @@
         """Return the rank of the request in queues, here and at targets; 0 goes first.
 
         Requests that have missed their objective rank behind those that can still meet
-        it. After a restart of the whole cluster, retried requests arrive together with
-        new ones; served in order of arrival, all of them would be late.
+        it, since a late answer is worth less. After a kill of all processes, retried
+        requests arrive together with new ones; served in order of arrival, all of them
+        would be late.
         """
         waited = self.prior_wait + now - self.received_at
         is_late = not self.first_event_at and waited > self.route.objective
@@ -190,7 +191,7 @@
 
     @property
     def priority(self) -> int:
-        """Rank before any lateness: the organisation's priority, else the route's."""
+        """Rank while not late: the organisation's priority, else the route's."""
         organisation = self.organisation
         if organisation is None or organisation.priority is None:
             return self.route.priority
@@ -198,7 +199,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request may have run through a try of this host."""
+        """Whether a try of this host, finished or current, may have run the request."""
         return self.written or self.has_run
 
     @property
--- a/packages/node/src/bronzepoint_node/relay/_codec.py
+++ b/packages/node/src/bronzepoint_node/relay/_codec.py
@@ -14,7 +14,7 @@
     """Parsed headers of a caller's request.
 
     Attributes:
-        request_id: The caller's id of this request; empty: none.
+        request_id: The caller's id of this attempt; empty: none.
         host: Host name that the request was sent to.
         deadline: Seconds for which the caller waits; None: not specified.
         prompt: Prompt sizes and prefixes that the request declares; None: none.
--- a/packages/node/src/bronzepoint_node/relay/_final_answers.py
+++ b/packages/node/src/bronzepoint_node/relay/_final_answers.py
@@ -107,9 +107,10 @@
         await _send_refusal(exchange, reason, retry_after)
 
     async def shed(self, exchange: Exchange, head: CallerHead) -> None:
-        """Refuse a request without reading its body, as this host is overloaded.
+        """Refuse a request without reading its body, as this host lags.
 
-        Closes the connection, so that the caller retries at another host.
+        Another host would answer it sooner. Closes the connection, so that the caller
+        retries there.
         """
         exchange.say_last()
         await self.refuse(exchange, head, RejectReason.LAGGING, DEFAULT_RETRY_AFTER)
--- a/packages/node/src/bronzepoint_node/relay/_host_headers.py
+++ b/packages/node/src/bronzepoint_node/relay/_host_headers.py
@@ -31,4 +31,4 @@
         ORGANISATION_HEADER,
     }
 )
-"""All internal headers; none is accepted from a caller."""
+"""All internal headers; those that a caller sends are ignored and not passed on."""
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -237,8 +237,8 @@
                 self._answers.log_outcome(call, "answered")
                 return True
             case Answered() if call.exchange.started:
-                # The caller has received a part of a stream, so that only its
-                # continuation may follow, no separate answer.
+                # The caller has received part of a stream. Only its continuation may
+                # follow, not another answer.
                 if call.may_repeat:
                     return False
             case Answered(status=status, headers=headers, body=body):
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -134,7 +134,7 @@
         return outcome
 
     async def _check_whether_ended(self, call: Call, target: TargetInfo) -> None:
-        """Exclude a run from a reached limit if its target has ended."""
+        """Exclude a run whose target has ended, if the limit of runs is reached."""
         if not call.route.repeatable:
             # No retry depends on the result, so the caller needn't wait for it.
             await curio.spawn(self._watch.look, target, daemon=True)
@@ -351,8 +351,8 @@
     """Update the number of runs from another region's answer, without the last run.
 
     The header contains all runs so far; `Sender.send` adds the last one. If all runs in
-    the other region counted as one, a request that failed twice there could exceed its
-    limit here.
+    the other region counted as one, a request with a limit of two that failed twice
+    there would run a third time here.
     """
     runs = headers.pop(RUNS_HEADER, "")
     if runs.isdigit():
