--- a/tests/test_decisions_lookup.py
+++ b/tests/test_decisions_lookup.py
@@ -30,6 +30,7 @@
 
 KEY = bytes(32)
 DEADLINE = 30.0
+"""Seconds after which a test fails while it waits for a copy."""
 CFG = DecisionsSection(copy_interval=0.05, timeout=0.3)
 LAYOUT = {"bkk": ["bkk-1", "bkk-2", "bkk-3"], "sgp": ["sgp-1", "sgp-2"]}
 
--- a/tests/test_entry_run_once.py
+++ b/tests/test_entry_run_once.py
@@ -196,7 +196,7 @@
 
 class HomeRecordTest(unittest.TestCase):
     def test_call_from_another_region_is_recorded_in_home_region(self) -> None:
-        """Guards against two regions that each store a run-once record and run it.
+        """Guards against a call that runs twice, under the records of two regions.
 
         The caller's first attempt goes to its home region, the resend to another one.
         """
@@ -229,7 +229,7 @@
         run(main)
 
     def test_home_region_does_not_forward_back(self) -> None:
-        """Guards against forwarding to the home region for the record and back."""
+        """Guards against a call forwarded home for its record, and straight back."""
 
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
@@ -244,7 +244,10 @@
         run(main)
 
     def test_unreachable_home_region_does_not_report_not_run(self) -> None:
-        """Guards against a wrong "not run" when the run-once record can't be read."""
+        """Guards against a wrong "not run" when the run-once record can't be read.
+
+        The previous attempt may have run the request.
+        """
 
         async def main() -> None:
             async with Site("bkk", "sgp") as site:
--- a/tests/test_quota_spread.py
+++ b/tests/test_quota_spread.py
@@ -279,7 +279,7 @@
     )
     @given(events=EVENTS, part=st.floats(0.3, 8.0), seed=st.integers(0, 99))
     def test_bound_holds_whatever_dies_or_is_cut(self, events, part, seed):
-        """Counts stay bounded where hosts and counters die and regions are cut."""
+        """Use stays within the limit if hosts or counters crash, and in partitions."""
         net = net_of("a", hosts=3, seed=seed)
         restarts = 0
         net.run(9.0, Load(net, {"a": STEADY}))
--- a/tests/test_relay_late_requests.py
+++ b/tests/test_relay_late_requests.py
@@ -61,7 +61,8 @@
         self.assertEqual(made.rank(now), ROUTE.priority + extra_rank)
 
     def test_retries_queue_behind_new_requests(self):
-        """Guards against seconds of late first answers after a crash of all processes.
+        """Guards against first answers that were nearly all late, for four seconds
+        after a kill of all processes.
 
         Callers whose connections were lost retry together. The fault was that requests
         were queued in order of arrival, so that new requests waited behind all retries,
--- a/tests/test_relay_placement_wait.py
+++ b/tests/test_relay_placement_wait.py
@@ -1,4 +1,4 @@
-"""A request that waits for free capacity checks for it periodically, not in a loop."""
+"""A waiting request checks for free capacity periodically, so that others can run."""
 
 import unittest
 
--- a/tests/test_relay_waiting_line.py
+++ b/tests/test_relay_waiting_line.py
@@ -32,8 +32,8 @@
         """Guards against a host that spends its processor time on capacity checks, so
         that its streams stall under load.
 
-        Dozens of requests wait, and each one checked 33 times a second: the cost grew
-        with the length of the queue.
+        Dozens of requests waited, and each one checked 33 times a second. The fault was
+        that the cost of the checks grew with the number of waiting requests.
         """
 
         async def main():
@@ -84,8 +84,8 @@
         """Guards against a request that is refused although its region has had free
         capacity for it.
 
-        The requests before it in the queue are bound to other home regions and find
-        none. The fault was that its wait ended without a last check.
+        The requests before it in the queue are home-bound and find none. The fault was
+        that its wait ended without a last check.
         """
 
         async def main():
