--- a/packages/cli/src/bronzepoint_cli/explain/_causes.py
+++ b/packages/cli/src/bronzepoint_cli/explain/_causes.py
@@ -41,9 +41,9 @@
 LOOP_BLOCKED_MESSAGE = "event loop late"
 """Log message of a host whose event loop was blocked."""
 MIN_BUSY_FRACTION = 0.5
-"""Fraction of the blocked time from which CPU use indicates a task of the host itself.
+"""Minimum CPU time, as a fraction of the blocked time, if the host itself is the cause.
 
-With less CPU use, the process was suspended or starved from outside.
+With less CPU time, the process was suspended or starved from outside.
 """
 _END = re.compile(r" -> ([a-z_]+?)(?:_[0-9]+)?(?:, ended)?$")
 
--- a/packages/common/src/bronzepoint_common/documents/_delta.py
+++ b/packages/common/src/bronzepoint_common/documents/_delta.py
@@ -10,8 +10,8 @@
 NO_BASE = -1
 """Base version of a delta that contains the whole document."""
 _SECTION_END = b"}"
-"""End of a section, the unit in which documents are compared. Documents without it are
-still transferred correctly, but their deltas are larger."""
+"""End of a section, the unit in which documents are compared. Documents without it, or
+with another structure, are still transferred correctly, but their deltas are larger."""
 
 CopiedRange = tuple[int, int]
 """Index of the first section to copy from the base, and number of sections."""
--- a/packages/common/src/bronzepoint_common/load/_call.py
+++ b/packages/common/src/bronzepoint_common/load/_call.py
@@ -8,8 +8,8 @@
 
     Attributes:
         path: Path and query.
-        headers: Headers of this call; with an idempotency key it can always be sent
-            again, whatever its outcome.
+        headers: Headers of this call; if they contain an idempotency key, the call can
+            be sent again whatever its outcome.
         stream: Whether the answer is a stream of server-sent events.
         idempotent: Whether the request may run twice.
     """
--- a/packages/common/src/bronzepoint_common/load/_latency.py
+++ b/packages/common/src/bronzepoint_common/load/_latency.py
@@ -3,7 +3,7 @@
 from hdrh.histogram import HdrHistogram
 
 MICROSECONDS = 1_000_000
-"""Microseconds in a second, the resolution of the histogram."""
+"""Microseconds in a second; the histogram counts in microseconds."""
 MAX_LATENCY = 600 * MICROSECONDS
 """Longest latency in the histogram, in microseconds; longer ones count as this."""
 SIGNIFICANT_DIGITS = 3
--- a/packages/common/src/bronzepoint_common/load/_load.py
+++ b/packages/common/src/bronzepoint_common/load/_load.py
@@ -31,7 +31,7 @@
         in_progress: Maximum concurrent requests; further ones are dropped and counted.
         timeout: Seconds to wait for the next piece of an answer.
         tries: Maximum number of times that a request is sent.
-        patience: Longest ``Retry-After``, in seconds, after which to try again.
+        patience: Longest ``Retry-After``, in seconds, to wait for before a retry.
     """
 
     in_progress: int = 500
--- a/packages/common/src/bronzepoint_common/log_stream.py
+++ b/packages/common/src/bronzepoint_common/log_stream.py
@@ -22,8 +22,9 @@
 
     def __init__(self) -> None:
         super().__init__(
-            "The reader of the log has stopped or lines are written too fast: restart "
-            "the program that reads this process's output, or raise [log] level."
+            "The reader of the log has stopped or lines are written too fast: resume "
+            "or restart the program that reads this process's output, or raise [log] "
+            "level."
         )
 
 
--- a/packages/common/src/bronzepoint_common/peers/_outbox.py
+++ b/packages/common/src/bronzepoint_common/peers/_outbox.py
@@ -18,9 +18,9 @@
 messages."""
 _FIRST_CONNECT_TIMEOUT = 0.4
 """Timeout in seconds of the first attempt to connect: twice the longest round trip. A
-host that is still booting drops the SYN packet, and the kernel resends it only after a
-second: when all hosts start together, this would delay the first election by a
-second."""
+host that is powered off or still booting drops the SYN packet, and the kernel resends
+it only after a second: when all hosts start together, this would delay the first
+election by a second."""
 _MAX_CONNECT_TIMEOUT = 2.0
 """Maximum timeout in seconds of an attempt to connect; it doubles with each failure."""
 _RETRY_MIN = 0.05
--- a/packages/common/src/bronzepoint_common/peers/_peers.py
+++ b/packages/common/src/bronzepoint_common/peers/_peers.py
@@ -40,7 +40,7 @@
 
 
 class Peers:
-    """Sends and receives control messages; the messages of each peer have a task.
+    """Sends and receives control messages; one task handles those of each peer.
 
     Messages may be lost, delayed or duplicated. Each protocol that uses them must
     tolerate this.
--- a/packages/common/src/bronzepoint_common/settings/_checks.py
+++ b/packages/common/src/bronzepoint_common/settings/_checks.py
@@ -139,7 +139,7 @@
 def _check_times(settings: Settings) -> Iterator[Fault]:
     agreement, membership = settings.agreement, settings.membership
     ascending = (
-        # The lease must outlast the interval at which heartbeats renew it.
+        # Heartbeats renew the lease: a shorter one would expire before each renewal.
         ("agreement", "heartbeat", agreement.heartbeat, "lease", agreement.lease),
         # An election before the old lease has expired could lead to two leaders.
         (
--- a/packages/common/src/bronzepoint_common/tokens.py
+++ b/packages/common/src/bronzepoint_common/tokens.py
@@ -29,7 +29,8 @@
     """Finds the holder of a bearer token.
 
     Tokens are looked up by a digest keyed with the cluster key: the time of a lookup
-    reveals nothing about a nearly correct token, and a dump of the table no token.
+    reveals nothing about a nearly correct token, and a dump of the table contains no
+    token.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/packages/emulator/src/bronzepoint_emulator/_serving.py
+++ b/packages/emulator/src/bronzepoint_emulator/_serving.py
@@ -23,7 +23,7 @@
 
 
 def stub_limits(idle_timeout: float = IDLE_TIMEOUT) -> HttpLimits:
-    """Return generous HTTP limits: no test attacks a stub."""
+    """Return generous HTTP limits, since no test sends abusive requests to a stub."""
     return HttpLimits(
         max_head=65536,
         max_body=16 * 1024 * 1024,
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_errors.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_errors.py
@@ -10,8 +10,8 @@
 
     def __init__(self, name: str, status: int | None, tail: str) -> None:
         super().__init__(
-            f"Process {name} is not running (exit status {status}). "
-            f"Last lines of its log:\n{tail}"
+            f"Process {name} is not running (exit status {status}): start it again, or "
+            f"find out why it ended from the last lines of its log:\n{tail}"
         )
 
 
--- a/packages/emulator/src/bronzepoint_emulator/engine/_batch.py
+++ b/packages/emulator/src/bronzepoint_emulator/engine/_batch.py
@@ -27,7 +27,7 @@
         spec: Durations (s) and sizes.
         cache: Prefix cache; cached prompt tokens need no processing.
         load: Records each change of the load.
-        counts: Counters that are updated.
+        counts: Counters of the runs.
     """
 
     def __init__(
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_limits.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_limits.py
@@ -98,7 +98,8 @@
     admitted = [one for one in counted if one.answered or one.first_token is not None]
     hosts = len(layout.region_hosts(_REGION))
     bound = _BOUND_FACTOR * RATE * (_SECONDS + 1) + hosts
-    # Each fault may admit up to one more limit until the old grants have expired.
+    # After each fault, up to one more full limit may be admitted until the old grants
+    # have expired.
     bound += faults * RATE * 2.5
     return LimitRun(name, _SECONDS, len(counted), len(admitted), bound)
 
--- a/packages/emulator/src/bronzepoint_emulator/slopes/system.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/system.py
@@ -1,7 +1,8 @@
 """``python -m bronzepoint_emulator.slopes.system``: cost by a deployment's load.
 
-Runs nine daemons. The caller's host, another host in its region and the leader are
-measured while one size grows: changes, requests, saved calls, organisations, entries.
+Runs nine daemons. The caller's host, another host in its region, which stores copies of
+its records, and the leader are measured while one size grows: changes, requests, saved
+calls, organisations, entries.
 """
 
 import os
@@ -42,7 +43,9 @@
 CHANGE_RATES = [1.0, 2.0, 4.0, 8.0]
 """Changes per second."""
 ORGANISATIONS = [0, 500, 1000, 2000, 3000]
+"""Numbers of organisations with a limit in the catalogue."""
 ENTRIES = [0, 50, 100, 200, 400]
+"""Numbers of additional entries in the catalogue."""
 
 
 class System:
--- a/tests/_golden_sessions.py
+++ b/tests/_golden_sessions.py
@@ -87,8 +87,8 @@
     body = rec.dep.operator("bkk-1").remove_body("model", "clinic", 1)
     body["change_id"] = new_key()
     # While the hosts aren't connected yet, or one of them is slow, the outcome is
-    # unknown. Record the answer that was received when it was known: if the change were
-    # sent again on a busy machine, a voter might not answer in time.
+    # unknown. The first answer with a known outcome is recorded: if the change were
+    # sent once more on a busy machine, a voter might not answer in time.
     client = operator(rec)
     reply = wait_until(lambda: _answer_not_run(client, body), "the voters answer")
     rec.record_request(client, "POST", "/v1/admin/changes", body, None)
--- a/tests/test_cli_resend.py
+++ b/tests/test_cli_resend.py
@@ -112,8 +112,8 @@
     def test_interrupted_call_prints_its_key(self):
         """Guards against running a call twice after Ctrl-C.
 
-        A user interrupts a slow call and repeats the command. It uses a new key, unless
-        the first command has printed its own.
+        A user interrupts a slow call and repeats the command. The second command makes
+        a new key, since the user doesn't know the first one unless it was printed.
         """
         host = self.start(save=[Reply(hang=True)])
         arguments = ("send", "saved", "{}", "--path", "/phrases", "--method", "POST")
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -298,7 +298,7 @@
 
 class TestCancelled(unittest.TestCase):
     def test_cancelled_request_does_not_arrive_later(self):
-        """Guards against a cancelled request that is sent from the socket buffers."""
+        """Guards against a cancelled request that still arrives from socket buffers."""
 
         async def main():
             listener = curio.network.tcp_server_socket("127.0.0.1", 0)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -17,6 +17,7 @@
 )
 
 MAX_WAIT = 30.0
+"""Seconds after which a test counts as hung."""
 SMALL = HttpLimits(
     max_head=2048,
     max_body=1024,
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -28,6 +28,7 @@
 A = HostName("a")
 B = HostName("b")
 MAX_WAIT = 30.0
+"""Seconds after which a call or an expected message counts as lost."""
 PEERS = 79
 CONTROL_MEMORY = 64e6
 """Bytes of memory that a host may use for control messages."""
--- a/tests/test_peers_links.py
+++ b/tests/test_peers_links.py
@@ -22,7 +22,9 @@
 HOSTS = ("a", "b", "c", "d")
 RESETS = 4000
 LIFETIME = (0.001, 0.02)
+"""Range of the seconds after which a connection is reset."""
 MAX_WAIT = 90.0
+"""Seconds for all calls after the resets to be answered."""
 MAX_RESET_WAIT = 150.0
 """Maximum seconds to wait for the resets: a guard against a hang, not a limit on speed.
 They take 20 s on an idle machine and 75 to 95 s with a load average of 27 on eight
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -134,8 +134,8 @@
     async def test_stream_that_breaks_past_its_deadline_has_one_line(self, site):
         """Guards against two log lines with two outcomes for one request.
 
-        A stream runs past its deadline and breaks before the overtime ends. It was
-        given up a second time, as late.
+        A stream runs past its deadline and breaks before the overtime ends. The
+        request, which had already been given up, was given up again as late.
         """
         for target in site.targets:
             target.script = ["break_late"]
@@ -255,8 +255,8 @@
     def test_sighup_leaves_the_program_running(self, role):
         """Guards against a process that exits on SIGHUP.
 
-        After reloading the settings, the program waits for the next signal. It added a
-        task to a second task group for that, which curio refuses.
+        After reloading the settings, the program waits for the next signal. For this, a
+        task was put into a second task group, which curio refuses.
         """
 
         async def main():
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -8,6 +8,7 @@
 from tests._platform_soak import PlatformSoak
 
 SECONDS = 6.0
+"""Seconds for which faults are injected."""
 
 
 class TestSoak(unittest.TestCase):
--- a/tests/test_settings_daemon.py
+++ b/tests/test_settings_daemon.py
@@ -1,4 +1,7 @@
-"""A daemon that can't start prints the reason in one line and exits with an error."""
+"""A daemon that can't start prints the reason in one line.
+
+Its exit status is 2 if its settings are invalid and 1 otherwise.
+"""
 
 import socket
 import subprocess
--- a/tests/test_tools_runner.py
+++ b/tests/test_tools_runner.py
@@ -65,7 +65,11 @@
         self.assertEqual(run.outcomes["test_sample.T.test_a"], "passed")
 
     def test_hung_test_shows_its_stack(self):
-        """Guards against a hung test that blocks CI without showing its stack."""
+        """Guards against a hung test that blocks CI without showing its stack.
+
+        A test waits for an event that never occurs. Without a timeout CI runs until it
+        is killed, and a kill from outside can't show where the test hangs.
+        """
         run = self.run_module(MODULE.format(body="time.sleep(100)"))
         self.assertIn("in test_b", run.output_path.read_text())
 
@@ -102,6 +106,7 @@
         child.wait()
 """
 MAX_WAIT = 30
+"""Maximum seconds to wait for processes to start or end."""
 
 
 class Interrupted(unittest.TestCase):
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -144,7 +144,7 @@
         for line in self.outcomes_path.read_text().splitlines():
             outcome, name = json.loads(line)
             if outcome == "start":
-                # Remains the outcome if the worker dies during this test.
+                # Remains if the worker dies during this test, which then hasn't passed.
                 self.outcomes.setdefault(name, "hung or crashed")
             elif self.outcomes.get(name) in (None, "hung or crashed", "passed"):
                 self.outcomes[name] = outcome
