--- a/tests/_stand_in_target.py
+++ b/tests/_stand_in_target.py
@@ -7,9 +7,9 @@
 from bronzepoint_common.http import HttpLimits, HttpServer
 
 LATE_BREAK = 0.75
-"""Delay after which a stream breaks that has to break after its deadline."""
+"""Seconds until a stream breaks that has to break after its deadline."""
 CRASHED = 20.0
-"""Upper bound on the wait of a request at a crashing target; the crash ends it."""
+"""Maximum seconds that a request waits at a crashing target; the crash ends it."""
 
 
 class StandInTarget:
@@ -52,7 +52,7 @@
                 await self._stream(exchange, headers, 2)
                 await exchange.abort()
             case "break_late":
-                # After the test's deadline and before the end of the grace period.
+                # After the test's deadline, but within the time allowed beyond it.
                 await self._stream(exchange, headers, 2)
                 await curio.sleep(LATE_BREAK)
                 await exchange.abort()
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -134,8 +134,8 @@
     async def test_stream_that_breaks_past_its_deadline_has_one_line(self, site):
         """Guards against two log lines with two outcomes for one request.
 
-        A stream runs past its deadline and breaks before the overtime ends. The
-        request, which had already been given up, was given up again as late.
+        A stream runs past its deadline and breaks within the time allowed beyond it.
+        The request, which had already been given up, was given up again as late.
         """
         for target in site.targets:
             target.script = ["break_late"]
