--- a/packages/common/src/bronzepoint_common/peers/_errors.py
+++ b/packages/common/src/bronzepoint_common/peers/_errors.py
@@ -39,7 +39,7 @@
 
 
 class FrameRejected(Exception):
-    """A frame is not from a host of the cluster, or invalid: dropped and counted."""
+    """A frame is invalid or from outside the cluster; it is dropped and counted."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"control frame rejected: {reason}")
--- a/packages/common/src/bronzepoint_common/peers/_listener.py
+++ b/packages/common/src/bronzepoint_common/peers/_listener.py
@@ -17,8 +17,8 @@
 from bronzepoint_common.settings import split_address
 
 Receive = Callable[[bytes], Awaitable[None]]
-"""Handles a frame; raises FrameRejected if it isn't a valid frame of a sender that has
-the cluster key."""
+"""Handles a frame; raises FrameRejected if it is invalid or its sender lacks the
+cluster key."""
 
 _BACKLOG = 256
 """Connections that the kernel queues until they are accepted."""
--- a/packages/common/src/bronzepoint_common/peers/_peers.py
+++ b/packages/common/src/bronzepoint_common/peers/_peers.py
@@ -40,7 +40,7 @@
 
 
 class Peers:
-    """Sends and receives control messages; one task handles those of each peer.
+    """Sends and receives control messages; one task per peer handles its messages.
 
     Messages may be lost, delayed or duplicated. Each protocol that uses them must
     tolerate this.
--- a/packages/emulator/src/bronzepoint_emulator/experiments/_caller.py
+++ b/packages/emulator/src/bronzepoint_emulator/experiments/_caller.py
@@ -14,7 +14,7 @@
 _EVENT_PREFIX = b"data: "
 _LAST_EVENT = b"data: [DONE]"
 _MAX_WAIT = 3.0
-"""Seconds after the deadline at which a caller gives up, to limit the runs' length."""
+"""Seconds after the deadline at which a caller gives up, so that runs end in time."""
 
 
 class Callers:
