--- a/packages/node/src/bronzepoint_node/__main__.py
+++ b/packages/node/src/bronzepoint_node/__main__.py
@@ -14,7 +14,9 @@
 from bronzepoint_node._listening import AddressUnusable
 
 EXIT_SETTINGS = 2
+"""Exit status if the settings are invalid."""
 EXIT_START = 1
+"""Exit status if the daemon can't start for another reason."""
 
 app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
 
--- a/packages/node/src/bronzepoint_node/agreement/_leadership.py
+++ b/packages/node/src/bronzepoint_node/agreement/_leadership.py
@@ -40,7 +40,7 @@
 
 _NEVER = float("-inf")
 _MAX_ENTRIES = 32
-"""Log entries in one append request."""
+"""Maximum number of log entries in one append request."""
 _SNAPSHOT_TIMEOUT = 10.0
 """Seconds to wait for the answer to a snapshot."""
 _LEARNER_MAX_WAIT = 20.0
--- a/packages/node/src/bronzepoint_node/agreement/_vote_handler.py
+++ b/packages/node/src/bronzepoint_node/agreement/_vote_handler.py
@@ -12,8 +12,9 @@
 EARLY_VOTE_BACKOFF = 0.6
 """Seconds after granting a vote in which a voter refuses all other early candidates.
 
-It covers two of the longest round trips between hosts and two syncs to disk, so that
-the elected candidate's first message can arrive.
+If it has had no contact with a leader since its start, it also starts no early election
+itself. The time covers two of the longest round trips between hosts and two syncs to
+disk, so that the elected candidate's first message can arrive.
 """
 
 
--- a/packages/node/src/bronzepoint_node/catalogue/_catalogue.py
+++ b/packages/node/src/bronzepoint_node/catalogue/_catalogue.py
@@ -38,13 +38,14 @@
 _STALE_SHARE = 0.6
 """Share of the bound above which a parent's confirmation is too old to be useful."""
 _LEADER_MAX_WAIT = 1.5
-"""Seconds that a restarted host waits for the leader before its region decides."""
+"""Seconds that a restarted host waits for the leader's confirmation before the answers
+of its region are sufficient."""
 _REGION_MAX_WAIT = 3.0
 """Seconds that a restarted host waits for unresponsive hosts of its region."""
 _FIRST_POLL_PAUSE = 0.1
 """Seconds between the first two rounds of polls after a start; each pause doubles."""
 _UNKNOWN_AGE = -1.0
-"""Value of an age in seconds on the wire and in status before any confirmation."""
+"""Age in seconds that messages and the status hold before the first confirmation."""
 _log = get_logger("catalogue")
 
 
--- a/packages/node/src/bronzepoint_node/core/_hosts_for.py
+++ b/packages/node/src/bronzepoint_node/core/_hosts_for.py
@@ -22,8 +22,8 @@
 class HostOrderCache:
     """Caches the order in which hosts are reported to each requesting host.
 
-    Without the cache, the time that a core host spends on ordering would grow with the
-    number of hosts for every answer.
+    Without the cache, every answer would sort all hosts again. The time spent on that
+    grows with the number of hosts and with the number of hosts that query this one.
     """
 
     def __init__(self) -> None:
--- a/packages/node/src/bronzepoint_node/fleet/_follower.py
+++ b/packages/node/src/bronzepoint_node/fleet/_follower.py
@@ -44,7 +44,8 @@
 the core, entry hosts that reach both sides pass reports between them."""
 SECONDARY_INTERVAL_PER_HOST = 0.01
 """Seconds added to ``SECONDARY_SYNC_INTERVAL`` per entry host, if this host reports no
-loads. Any entry host can pass a report to the other side of a partition."""
+loads. Any entry host can pass a report to the other side of a partition, so each of
+them may query less often."""
 FAILED_CORE_RETRY = 5.0
 """Seconds for which a core host that didn't answer is avoided."""
 MAX_CORE_AGE_MS = 2000
@@ -314,7 +315,7 @@
         return self._copy.version < reply.document_version
 
     def _apply_targets(self, reply: SyncReply) -> None:
-        """Apply a target list that was read later than the one held."""
+        """Apply a target list read later than the one held, from any core host."""
         if reply.targets_age_ms < 0:
             return
         read_at = monotonic() - reply.targets_age_ms / 1000
--- a/packages/node/src/bronzepoint_node/membership/_host_table.py
+++ b/packages/node/src/bronzepoint_node/membership/_host_table.py
@@ -21,7 +21,7 @@
 UNKNOWN_INCARNATION = 0
 """Incarnation of a host that is known only from the settings."""
 _RESTART_MARGIN = 1
-"""Number added to an incarnation that others know, to get one that replaces it."""
+"""Increment on an incarnation that others know, so that the new one replaces it."""
 
 
 class KnownHost(msgspec.Struct):
--- a/packages/node/src/bronzepoint_node/membership/_membership.py
+++ b/packages/node/src/bronzepoint_node/membership/_membership.py
@@ -37,7 +37,8 @@
 from bronzepoint_schema.ids import HostName, RegionName
 
 _STOPPED_ROUNDS = 3
-"""Rounds between two clock readings above which this process was stopped."""
+"""Number of rounds. If the clock advances further between two readings, this process
+was stopped."""
 _REMOVE_AFTER_LIFETIMES = 2
 """Lifetimes of run-once records after which a dead host is removed.
 
--- a/packages/node/src/bronzepoint_node/membership/_pulse.py
+++ b/packages/node/src/bronzepoint_node/membership/_pulse.py
@@ -14,7 +14,7 @@
 """Low bits of a catalogue revision that a heartbeat contains."""
 _REVISION_MASK = (1 << REVISION_BITS) - 1
 _LOAD_STEPS = 100
-"""Steps of the encoded load per unit of load, that is hundredths."""
+"""Encoded value of a load of 1.0; loads are sent in hundredths."""
 _MAX_LOAD = 255
 """Maximum encoded load, in hundredths."""
 
--- a/packages/node/src/bronzepoint_node/orders/_errors.py
+++ b/packages/node/src/bronzepoint_node/orders/_errors.py
@@ -58,6 +58,6 @@
     def __init__(self, target: TargetName, retry_after: float) -> None:
         super().__init__(
             f"the weight store refused the fetch of engine {target}; all loads pause "
-            f"for {retry_after:g} s; raise [orders] load_interval if it happens again"
+            f"for {retry_after:g} s; raise [orders] load_interval if it continues"
         )
         self.retry_after = retry_after
--- a/packages/node/src/bronzepoint_node/quarantine/_case.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_case.py
@@ -85,7 +85,8 @@
             return known.merge(crash_record)
         self.crash_records[target] = crash_record
         while len(self.crash_records) > MAX_CRASH_RECORDS:
-            # Evict cleared crashes first, then those without proof, then the oldest.
+            # Evict cleared crashes first, then those in which the request wasn't alone,
+            # then the oldest.
             weakest = min(
                 self.crash_records,
                 key=lambda name: (
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_watch.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_watch.py
@@ -43,7 +43,7 @@
         first_event_at: Time of its first event; 0 if none has arrived.
         ended_at: Time at which it ended; 0 while it runs.
         suspect: Whether it was sent as a suspect, to a target without another suspect.
-        quiet: Whether no other run that had yet to begin was known on the target.
+        quiet: Whether, as far as known, every other run there had had its first event.
         overlapped: Whether another run was sent to the target during the trial.
         survived: Whether it ran on past the early phase.
     """
--- a/packages/node/src/bronzepoint_node/quarantine/_standing.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_standing.py
@@ -10,13 +10,15 @@
 from ._fingerprint import is_any_caller
 
 MIN_CRASHES_SUSPECT = 2
-"""Number of early crashes from which a request is a suspect. A single crash proves
-nothing, as it affects every request that ran on the target."""
+"""Number of early crashes, soon after the request began to run, from which it is a
+suspect. A single crash proves nothing, as it affects every request that ran on the
+target."""
 MIN_CRASHES_BLOCKED = 3
 """Number of early crashes from which a request is blocked, if it ran alone in one of
 them."""
 MIN_CRASHES_BLOCKED_UNPROVEN = 5
-"""Number of early crashes from which a request is blocked in any case."""
+"""Number of early crashes from which a request is blocked even if other requests ran on
+the target each time."""
 MIN_CRASHES_BLOCKED_LATE = 6
 """Number of crashes at any point of its runs from which a request is blocked. It is
 higher since a stream that had been running each time is most likely unrelated."""
@@ -43,8 +45,9 @@
     """Return the standing of each request that isn't clear.
 
     A crash has one cause but affects every request that ran on the target. A frequent
-    request, or a batch of streams that moved on together, may be involved in several
-    crashes. Crashes attributed to a blocked request thus don't count against others.
+    request, or a batch of streams that resume together on one target after another, may
+    be involved in several crashes. Crashes attributed to a blocked request thus don't
+    count against others.
     """
     active_crash_records = {
         record.fingerprint: crash_records
@@ -74,7 +77,8 @@
         }
         standing = _classify(counted, proven)
         if is_any_caller(fingerprint):
-            # The content may be harmless from another caller, so it is never blocked.
+            # The content may be harmless from another caller, so it is never blocked
+            # but runs on trial with a permit.
             standing = min(standing, Standing.DOUBTFUL)
         elif standing is Standing.HELD:
             attributed.update(active_crash_records[fingerprint])
--- a/packages/node/src/bronzepoint_node/run_once/_errors.py
+++ b/packages/node/src/bronzepoint_node/run_once/_errors.py
@@ -42,6 +42,6 @@
         self.reason = reason
         self.stored = stored
         super().__init__(
-            f"no majority of the key's copies agreed: {reason}; resend with the same "
+            f"no majority of the key's replicas agreed: {reason}; resend with the same "
             "key once more hosts of the home region are reachable"
         )
--- a/packages/node/src/bronzepoint_node/run_once/_outcomes.py
+++ b/packages/node/src/bronzepoint_node/run_once/_outcomes.py
@@ -97,7 +97,7 @@
             self._attempts.drop(claim.attempt)
 
     async def _record_now(self, token: ClaimToken, outcome: _states.Outcome) -> None:
-        """Record an outcome, first with the ballot that was promised to the claim."""
+        """Record an outcome with the ballot promised to the claim or in a new round."""
         if token.following is not None and await self._proposer.change_promised(
             token.key, token.following, outcome, self._timeout
         ):
--- a/tests/_agreement_cluster.py
+++ b/tests/_agreement_cluster.py
@@ -25,6 +25,7 @@
 )
 
 DEADLINE = 30.0
+"""Maximum seconds to wait for a condition or a change."""
 KEY = "5a" * 32
 
 
--- a/tests/_seeded_cluster.py
+++ b/tests/_seeded_cluster.py
@@ -14,6 +14,7 @@
 from bronzepoint_schema.generated.settings import AgreementSection
 
 DEADLINE = 20.0
+"""Maximum seconds to wait for a condition or a change."""
 TIMES = AgreementSection(voters_wanted=5, replace_after=1.0)
 
 
--- a/tests/test_agreement_batches.py
+++ b/tests/test_agreement_batches.py
@@ -31,6 +31,7 @@
 from bronzepoint_schema.generated.settings import AgreementSection
 
 LARGE = 200_000
+"""Bytes of a large item."""
 
 
 def put(number, size):
--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -170,7 +170,10 @@
         self.assertEqual(self.deployment.revision("cnx-1"), first["revision"])
 
     def test_restart_after_hundreds_of_changes(self):
-        """Guards against a restarted process that serves an outdated view."""
+        """Guards against a restarted process that serves an outdated view.
+
+        It was down during hundreds of changes.
+        """
         stopped = ("cnx-1", "cnx-3", "bkk-3")
         for host in stopped:
             self.deployment.kill(host)
@@ -217,8 +220,9 @@
     def test_host_restarts_in_an_isolated_region(self):
         """Guards against hosts that can't serve after a restart in an isolated region.
 
-        They must not serve an older view than before either. The hosts of cnx restart
-        one after the other: the one with a disk and both without.
+        A region that is isolated for an hour would then stop serving, one host after
+        another. Restarted hosts must not serve an older view than before either. The
+        hosts of cnx restart one after the other: the one with a disk and both without.
         """
         revision = self.put("before")
         self.deployment.wait_revision(revision)
--- a/tests/test_agreement_spread.py
+++ b/tests/test_agreement_spread.py
@@ -26,8 +26,8 @@
     def test_restarted_host_loads_the_view_of_its_region(self):
         """Guards against a host that refuses all callers while its region is isolated.
 
-        It has restarted without a disk and the leader is unreachable, but other hosts
-        of its region hold the newest view.
+        The isolation may last an hour. The host has restarted without a disk and the
+        leader is unreachable, but other hosts of its region hold the newest view.
         """
 
         async def scenario(cluster):
--- a/tests/test_fleet_knowledge.py
+++ b/tests/test_fleet_knowledge.py
@@ -102,7 +102,8 @@
 
     def test_repeated_report_does_not_clear_the_cache(self):
         """Guards against answers of a core host that slow down with the number of entry
-        hosts: each report discarded the cached list that the next answer needed."""
+        hosts, such as 200: each report of one of them discarded the cached list of live
+        hosts that the next answer needed."""
         for number in range(200):
             self.registry.hear_entries([entry(f"h{number}")])
         self.assertEqual(len(self.registry.entries()), 200)
@@ -266,8 +267,9 @@
     )
     def test_all_seeds_are_queried_at_the_start(self, answers, expected):
         """Guards against a slow start after all hosts restart. The first core host may
-        not run yet and the next may have no leader to confirm its catalogue; queried
-        one after another with the usual timeout, they delayed the first answers."""
+        not run yet and the next may have no leader to confirm its catalogue. Queried
+        one after another with the usual timeout, they delayed the first answers until
+        half a second after the core had a leader again."""
         known = {name: answer for name, answer in answers.items() if answer is not None}
         client, peers = make_client(known, seeds=tuple(answers))
         curio.run(client._query_seeds)
@@ -279,7 +281,8 @@
     def test_core_host_that_is_behind_is_replaced_by_the_next(self, confirmed):
         """Guards against 404 for a new route four seconds after it was accepted: the
         core host of the same region answered but no longer received changes from a
-        leader, and only core hosts that didn't answer were replaced."""
+        leader, and only core hosts that didn't answer were replaced. The fault was
+        found in a search for faults (karadeniz-grown, day hunt-64fc-7)."""
         behind = make_reply(1, confirmed=confirmed)
         client, peers = make_client({"c1": behind, "c2": make_reply(3)})
         core = [CoreHost("c1", "r", 0), CoreHost("c2", "far", 0)]
--- a/tests/test_fleet_target_reader.py
+++ b/tests/test_fleet_target_reader.py
@@ -30,7 +30,8 @@
     def test_cold_time_counts_from_the_answer(self, cold_ms, delay):
         """Guards against overloading a cold target. The list states how long the target
         stays cold from the answer on, but the time was counted from the request. With
-        an answer delayed by a network partition, the target got too many requests."""
+        an answer delayed for a second by a network partition, the target got 7 requests
+        in a second, one more than allowed."""
 
         async def read():
             await curio.sleep(delay)
--- a/tests/test_quarantine_table.py
+++ b/tests/test_quarantine_table.py
@@ -50,7 +50,7 @@
 
     @params((Standing.HELD, "q"), (Standing.CLEAR, "abc"))
     def test_blocked_request_clears_unrelated_ones(self, expected, names):
-        """Guards against blaming a batch of streams that moved on together."""
+        """Guards against blaming a batch of streams that resume together elsewhere."""
         table = CrashTable()
         for target in ("t1", "t2"):
             add_crash(table, target, "qabc")
--- a/tests/test_run_once_copies.py
+++ b/tests/test_run_once_copies.py
@@ -17,6 +17,7 @@
 
 LOG = "run_once.log"
 MAX_WAIT = 30.0
+"""Maximum seconds to wait for a condition."""
 
 
 async def run_and_finish(region, host, key):
