--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -1,6 +1,6 @@
 """Placement of requests on targets and regions, from the state of one host."""
 
-from ._ask import PlacementAsk, service_of
+from ._ask import PlacementRequest, service_of
 from ._choice import (
     AtHome,
     Elsewhere,
@@ -36,7 +36,7 @@
     "LoadExchange",
     "NoHome",
     "Placement",
-    "PlacementAsk",
+    "PlacementRequest",
     "Placer",
     "Prober",
     "Prompt",
--- a/packages/node/src/bronzepoint_node/placement/_ask.py
+++ b/packages/node/src/bronzepoint_node/placement/_ask.py
@@ -10,7 +10,7 @@
 from ._prompt import Prompt
 
 
-class PlacementAsk(Struct):
+class PlacementRequest(Struct):
     """A request that is waiting to be placed.
 
     Attributes:
--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -20,7 +20,7 @@
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState, RegionLoad
 from bronzepoint_schema.ids import RegionName
 
-from ._ask import PlacementAsk
+from ._ask import PlacementRequest
 from ._choice import Elsewhere
 from ._region_owner import weighted_owner
 from ._service_estimates import ServiceEstimates
@@ -73,14 +73,18 @@
         self._forwarded: dict[tuple[RegionName, str], dict[str, float]] = {}
 
     def fresh_estimates(
-        self, request: PlacementAsk, service: str, request_view: RequestView, now: float
+        self,
+        request: PlacementRequest,
+        service: str,
+        request_view: RequestView,
+        now: float,
     ) -> list[RegionTerms]:
         """Return the expected cost of each other region with a recent load report."""
         return self._region_estimates(request, service, request_view, LOAD_EXPIRY, now)
 
     def best(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
         request_view: RequestView,
         fresh_estimates: list[RegionTerms],
@@ -133,7 +137,7 @@
 
     def cache_holder(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
         estimates: list[RegionTerms],
         missing: int,
@@ -170,13 +174,19 @@
         return None
 
     def _remote_placement(
-        self, estimate: RegionTerms, request: PlacementAsk, detail: str, delay: float
+        self,
+        estimate: RegionTerms,
+        request: PlacementRequest,
+        detail: str,
+        delay: float,
     ) -> Elsewhere:
         region = estimate.view.name
         host = self._rng.choice(self._eligible_hosts(region, request))
         return Elsewhere(region, host.name, host.forward_address, detail, delay)
 
-    def describe(self, service: str, request: PlacementAsk, now: float) -> list[str]:
+    def describe(
+        self, service: str, request: PlacementRequest, now: float
+    ) -> list[str]:
         """Return the known free capacity of each other region, for the log."""
         return [
             f"{load.region} {load.in_progress}/{load.slots} {load.age_ms} ms old, "
@@ -188,7 +198,7 @@
 
     def _region_estimates(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
         request_view: RequestView,
         expiry: float,
@@ -219,7 +229,7 @@
             estimates.append(away_terms(view, request_view, times, sent, CACHED_SHARE))
         return estimates
 
-    def _transfer_time(self, request: PlacementAsk) -> float:
+    def _transfer_time(self, request: PlacementRequest) -> float:
         """Return the seconds to send a body from this host and receive it at another.
 
         On a narrow link a long prompt takes longer than the round trip. Without this
@@ -228,7 +238,7 @@
         return 2 * request.body_bytes / self._link_bytes
 
     def _eligible_hosts(
-        self, region: RegionName, request: PlacementAsk
+        self, region: RegionName, request: PlacementRequest
     ) -> list[EntryHost]:
         hosts = self.entry_hosts(region) or self.entry_hosts(region, LAST_RESORT)
         now = monotonic()
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -9,7 +9,7 @@
 from bronzepoint_schema.generated.fleet import RegionLoad
 from bronzepoint_schema.ids import HostName, RegionName
 
-from ._ask import PlacementAsk, service_of
+from ._ask import PlacementRequest, service_of
 from ._choice import (
     AtHome,
     Elsewhere,
@@ -89,12 +89,12 @@
         """
         return [host.name for host in self.regions.entry_hosts(self._region)]
 
-    def may_stay(self, request: PlacementAsk) -> bool:
+    def may_stay(self, request: PlacementRequest) -> bool:
         """Return whether this region may serve a request, and has targets for it."""
         service = service_of(request.route, request.request_id)
         return request.may_go_to(self._region) and self._table.has_service(service)
 
-    def home_ask(self, request: PlacementAsk) -> HomeAsk:
+    def home_ask(self, request: PlacementRequest) -> HomeAsk:
         """Return the input of the selection of a target of this region."""
         return HomeAsk(
             request_id=request.request_id,
@@ -107,14 +107,14 @@
             suspect=request.suspect,
         )
 
-    def place(self, request: PlacementAsk, now: float) -> Placement:
+    def place(self, request: PlacementRequest, now: float) -> Placement:
         """Return a target of this region, a host of another one, or a refusal."""
         if not self.may_stay(request):
             return self.decide(request, NoHome(), now)
         return self.decide(request, self.home.choose(self.home_ask(request), now), now)
 
     def decide(
-        self, request: PlacementAsk, found: LocalResult, now: float
+        self, request: PlacementRequest, found: LocalResult, now: float
     ) -> Placement:
         """Choose between this region and the others.
 
@@ -141,7 +141,7 @@
 
     def _cache_holder(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
         local: AtHome,
         estimates: list[RegionTerms],
@@ -207,7 +207,7 @@
         is_final = isinstance(found, NoHome) and found.crowded
         return Rejected(RejectReason.NO_ROOM, wait, is_final)
 
-    def known_room(self, request: PlacementAsk, now: float) -> str:
+    def known_room(self, request: PlacementRequest, now: float) -> str:
         """Return the known free capacity for a request, for the log."""
         service = service_of(request.route, request.request_id)
         here = [
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -8,7 +8,7 @@
 from bronzepoint_node.placement import (
     NoHome,
     Placement,
-    PlacementAsk,
+    PlacementRequest,
     Placer,
     Rejected,
     RejectReason,
@@ -214,8 +214,8 @@
             return False
         return not placement.final
 
-    def _placement_request(self, call: Call) -> PlacementAsk:
-        return PlacementAsk(
+    def _placement_request(self, call: Call) -> PlacementRequest:
+        return PlacementRequest(
             call.head.request_id,
             call.route,
             call.head.prompt,
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -10,7 +10,7 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.http import BadRequest, Request
 from bronzepoint_node.fleet import RouteKind, ServedRoute, digest_key
-from bronzepoint_node.placement import PlacementAsk
+from bronzepoint_node.placement import PlacementRequest
 from bronzepoint_node.quarantine import name_request
 from bronzepoint_node.relay import CallerHead, Gate
 from bronzepoint_node.relay._call import LATE_RANKS, Call
@@ -292,7 +292,7 @@
         """Guards against runs outside the home regions of an organisation."""
         organisation = SimpleNamespace(home_regions=own)
         bound = SimpleNamespace(home_regions=route)
-        request = PlacementAsk("id", bound, None, False, 4.0, set(), set(), 0)
+        request = PlacementRequest("id", bound, None, False, 4.0, set(), set(), 0)
         request.organisation = organisation
         self.assertEqual(request.may_go_to(region), expected)
 
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -21,7 +21,7 @@
     ColdGate,
     Elsewhere,
     EngineReport,
-    PlacementAsk,
+    PlacementRequest,
     Placer,
     Prober,
     Prompt,
@@ -84,7 +84,7 @@
             self.registry.hear_loads([RegionLoad(region, "s", 64, count, 0, 0)])
 
     def make_request(self, of_route=None, prompt=None, forwarded=False, tried=()):
-        return PlacementAsk(
+        return PlacementRequest(
             "id", of_route or route(), prompt, forwarded, 5.0, set(tried), set(), 0
         )
 
