--- a/packages/node/src/bronzepoint_node/placement/_home_ask.py
+++ b/packages/node/src/bronzepoint_node/placement/_local_request.py
@@ -5,7 +5,7 @@
 from ._prompt import Prompt
 
 
-class HomeAsk(Struct):
+class LocalPlacementRequest(Struct):
     """Input of the selection of a target.
 
     Attributes:
--- a/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
+++ b/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
@@ -23,7 +23,7 @@
 from ._choice import AtHome, LocalResult, NoHome
 from ._cold_gate import ColdGate
 from ._fetch_source import fetch_source
-from ._home_ask import HomeAsk
+from ._local_request import LocalPlacementRequest
 from ._prompt import Prompt
 from ._service_estimates import ServiceEstimates
 from ._target_groups import order_groups
@@ -74,7 +74,7 @@
         self._choosers = choosers
         self._rng = rng
 
-    def choose(self, request: HomeAsk, now: float) -> LocalResult:
+    def choose(self, request: LocalPlacementRequest, now: float) -> LocalResult:
         """Return the target for a request, or why there is none."""
         self._table.begin_due_return(request.service, now)
         key = request.prompt.shared_key if request.prompt else ""
@@ -87,7 +87,7 @@
         return NoHome(late=bool(is_late) and all(is_late))
 
     def _choose_in_group(
-        self, request: HomeAsk, usable: list[TrackedTarget], now: float
+        self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
     ) -> LocalResult:
         in_time = [t for t in usable if self._finishes_in_time(t, request, now)]
         for candidates in self._candidate_sets(request, in_time, now):
@@ -99,7 +99,7 @@
         return NoHome(late=bool(usable) and not in_time)
 
     def _candidate_sets(
-        self, request: HomeAsk, usable: list[TrackedTarget], now: float
+        self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
     ) -> list[list[TrackedTarget]]:
         """Return sets of candidates, to be tried in order.
 
@@ -117,7 +117,7 @@
         return [not_isolated, usable]
 
     def _choose_candidate(
-        self, request: HomeAsk, usable: list[TrackedTarget], now: float
+        self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
     ) -> TargetChoice:
         return choose_target(
             self.request_view(request),
@@ -132,7 +132,7 @@
 
     def _local_placement(
         self,
-        request: HomeAsk,
+        request: LocalPlacementRequest,
         target: TrackedTarget,
         usable: list[TrackedTarget],
         choice: TargetChoice,
@@ -209,7 +209,7 @@
             backlog=before / rate,
         )
 
-    def request_view(self, request: HomeAsk) -> RequestView:
+    def request_view(self, request: LocalPlacementRequest) -> RequestView:
         """Return a request as input of the choice."""
         prompt = request.prompt
         key = prompt.shared_key if prompt else ""
@@ -237,7 +237,7 @@
         return known.engine.seconds_to_copy
 
     def _finishes_in_time(
-        self, target: TrackedTarget, request: HomeAsk, now: float
+        self, target: TrackedTarget, request: LocalPlacementRequest, now: float
     ) -> bool:
         """Return whether a stream that starts now would end by its deadline.
 
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -20,7 +20,7 @@
     RejectReason,
 )
 from ._cold_gate import ColdGate
-from ._home_ask import HomeAsk
+from ._local_request import LocalPlacementRequest
 from ._local_target_selector import LOWEST_RANK, LocalTargetSelector
 from ._other_regions import OtherRegions
 from ._service_estimates import ServiceEstimates
@@ -94,9 +94,9 @@
         service = service_of(request.route, request.request_id)
         return request.may_go_to(self._region) and self._table.has_service(service)
 
-    def home_ask(self, request: PlacementRequest) -> HomeAsk:
+    def local_request(self, request: PlacementRequest) -> LocalPlacementRequest:
         """Return the input of the selection of a target of this region."""
-        return HomeAsk(
+        return LocalPlacementRequest(
             request_id=request.request_id,
             service=service_of(request.route, request.request_id),
             prompt=request.prompt,
@@ -111,7 +111,9 @@
         """Return a target of this region, a host of another one, or a refusal."""
         if not self.may_stay(request):
             return self.decide(request, NoHome(), now)
-        return self.decide(request, self.home.choose(self.home_ask(request), now), now)
+        return self.decide(
+            request, self.home.choose(self.local_request(request), now), now
+        )
 
     def decide(
         self, request: PlacementRequest, found: LocalResult, now: float
@@ -127,7 +129,7 @@
         service = service_of(request.route, request.request_id)
         if request.forwarded:
             return local or self._reject(service, found)
-        request_view = self.home.request_view(self.home_ask(request))
+        request_view = self.home.request_view(self.local_request(request))
         estimates = self.regions.fresh_estimates(request, service, request_view, now)
         remote = self.regions.best(request, service, request_view, estimates, now)
         if remote is None:
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -12,7 +12,7 @@
 from ._choice import AtHome, LocalResult, NoHome
 from ._cold_gate import ColdGate
 from ._engine_load import OwnRun
-from ._home_ask import HomeAsk
+from ._local_request import LocalPlacementRequest
 from ._local_target_selector import LocalTargetSelector
 from ._prompt import Prompt, PromptPart
 from ._reservations import Reservations
@@ -35,7 +35,7 @@
 class _QueuedPlacement(QueuedRequest):
     """A queued request and the result of its placement."""
 
-    request: HomeAsk = field(kw_only=True, compare=False)
+    request: LocalPlacementRequest = field(kw_only=True, compare=False)
     claim: Claim = field(kw_only=True, compare=False)
     found: LocalResult = field(default=NoHome(), kw_only=True, compare=False)
 
@@ -71,7 +71,7 @@
         self._known_age = known_age
         self._queues: dict[str, RequestQueue] = {}
 
-    async def find(self, request: HomeAsk, wait: float) -> LocalResult:
+    async def find(self, request: LocalPlacementRequest, wait: float) -> LocalResult:
         """Return a target for a request of this host, as soon as there is one.
 
         The caller counts the request at its target immediately.
@@ -114,7 +114,9 @@
                     found.quiet,
                 )
 
-    async def _find(self, request: HomeAsk, wait: float, claim: Claim) -> LocalResult:
+    async def _find(
+        self, request: LocalPlacementRequest, wait: float, claim: Claim
+    ) -> LocalResult:
         found = self._choose(request, claim)
         if wait <= 0 or not _lacks_capacity(found):
             return found
@@ -157,7 +159,7 @@
             if failed == HEAD_COUNT:
                 return
 
-    def _choose(self, request: HomeAsk, claim: Claim) -> LocalResult:
+    def _choose(self, request: LocalPlacementRequest, claim: Claim) -> LocalResult:
         now = monotonic()
         found = self._selector.choose(request, now)
         if isinstance(found, NoHome):
@@ -166,7 +168,7 @@
         return replace(found, known_age=self._known_age(now))
 
     def _reserve(
-        self, host: HostName, number: int, request: HomeAsk, found: AtHome
+        self, host: HostName, number: int, request: LocalPlacementRequest, found: AtHome
     ) -> None:
         now = monotonic()
         target, prompt = found.target, request.prompt
@@ -182,7 +184,9 @@
         self._reservations.add(host, number, target, prompt, run)
 
 
-def make_query(request: HomeAsk, number: int, wait: float, now: float) -> TargetAsk:
+def make_query(
+    request: LocalPlacementRequest, number: int, wait: float, now: float
+) -> TargetAsk:
     """Return a request as a query to another host."""
     prompt = request.prompt
     return TargetAsk(
@@ -202,12 +206,12 @@
     )
 
 
-def _read_query(query: TargetAsk, now: float) -> HomeAsk:
+def _read_query(query: TargetAsk, now: float) -> LocalPlacementRequest:
     prompt = None
     if query.tokens >= 0:
         parts = tuple(PromptPart(part.name, part.tokens) for part in query.parts)
         prompt = Prompt(parts, query.tokens, query.max_output, query.expected_output)
-    return HomeAsk(
+    return LocalPlacementRequest(
         request_id=query.request_id,
         service=query.service,
         prompt=prompt,
--- a/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
@@ -21,8 +21,8 @@
 from bronzepoint_schema.ids import HostName
 
 from ._choice import AtHome, LocalResult, NoHome
-from ._home_ask import HomeAsk
 from ._load_exchange import LoadExchange
+from ._local_request import LocalPlacementRequest
 from ._scheduler import MAX_WAIT, Scheduler, make_query
 from ._target_table import TargetTable
 from ._tracked_target import TrackedTarget, is_ejected
@@ -90,7 +90,7 @@
         """Stop answering queries."""
         await self._tasks.cancel_remaining()
 
-    async def find(self, request: HomeAsk, wait: float) -> LocalResult:
+    async def find(self, request: LocalPlacementRequest, wait: float) -> LocalResult:
         """Return a target of the region, as soon as there is one.
 
         Args:
@@ -134,7 +134,7 @@
         )
 
     async def _query(
-        self, scheduler: HostName, request: HomeAsk, wait: float
+        self, scheduler: HostName, request: LocalPlacementRequest, wait: float
     ) -> TargetGrant | NoTarget | None:
         """Return the scheduler's answer; None if none arrived in time."""
         began = monotonic()
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -200,7 +200,9 @@
             call.placement_requests += 1
             found = NoHome()
             if self._placer.may_stay(request):
-                found = await self._scheduler.find(self._placer.home_ask(request), wait)
+                found = await self._scheduler.find(
+                    self._placer.local_request(request), wait
+                )
             placement = self._placer.decide(request, found, monotonic())
             wait = until - monotonic()
             if wait <= 0 or not self._may_wait(call, placement):
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -30,7 +30,7 @@
     SchedulerClient,
     TargetTable,
 )
-from bronzepoint_node.placement._home_ask import HomeAsk
+from bronzepoint_node.placement._local_request import LocalPlacementRequest
 from bronzepoint_schema.generated.fleet import (
     EntryHost,
     EntryState,
@@ -217,7 +217,9 @@
     def make_request(self, rank=0, tokens=100, arrived=None, avoided=()):
         now = monotonic()
         at = now if arrived is None else arrived
-        return HomeAsk("id", "s", prompt(tokens), 5.0, rank, at, set(avoided))
+        return LocalPlacementRequest(
+            "id", "s", prompt(tokens), 5.0, rank, at, set(avoided)
+        )
 
     async def send(self, run_id, wait=0.0, **options):
         """Find a target and count a request there, as a sender does."""
