--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -2,12 +2,12 @@
 
 from ._ask import PlacementRequest, service_of
 from ._choice import (
-    AtHome,
-    Elsewhere,
-    NoHome,
+    LocalPlacement,
+    NoLocalTarget,
     Placement,
     Rejected,
     RejectReason,
+    RemotePlacement,
 )
 from ._cold_gate import ColdGate
 from ._load_exchange import LoadExchange
@@ -29,12 +29,12 @@
 from ._tracked_target import EngineReport, is_silent
 
 __all__ = [
-    "AtHome",
+    "LocalPlacement",
     "ColdGate",
-    "Elsewhere",
+    "RemotePlacement",
     "EngineReport",
     "LoadExchange",
-    "NoHome",
+    "NoLocalTarget",
     "Placement",
     "PlacementRequest",
     "Placer",
--- a/packages/node/src/bronzepoint_node/placement/_choice.py
+++ b/packages/node/src/bronzepoint_node/placement/_choice.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class AtHome:
+class LocalPlacement:
     """Send the request to a target of this region.
 
     Attributes:
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class NoHome:
+class NoLocalTarget:
     """No target of this region can take the request now.
 
     Attributes:
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Elsewhere:
+class RemotePlacement:
     """Forward the request to an entry host of another region."""
 
     region: RegionName
@@ -87,5 +87,5 @@
     final: bool = False
 
 
-LocalResult = AtHome | NoHome
-Placement = AtHome | Elsewhere | Rejected
+LocalResult = LocalPlacement | NoLocalTarget
+Placement = LocalPlacement | RemotePlacement | Rejected
--- a/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
+++ b/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
@@ -20,7 +20,7 @@
     TargetName,
 )
 
-from ._choice import AtHome, LocalResult, NoHome
+from ._choice import LocalPlacement, LocalResult, NoLocalTarget
 from ._cold_gate import ColdGate
 from ._fetch_source import fetch_source
 from ._local_request import LocalPlacementRequest
@@ -81,10 +81,10 @@
         is_late = []
         for group in order_groups(self._table.groups(request.service), key, self._rng):
             found = self._choose_in_group(request, self._filter_usable(group, now), now)
-            if isinstance(found, AtHome):
+            if isinstance(found, LocalPlacement):
                 return found
             is_late.append(found.late)
-        return NoHome(late=bool(is_late) and all(is_late))
+        return NoLocalTarget(late=bool(is_late) and all(is_late))
 
     def _choose_in_group(
         self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
@@ -96,7 +96,7 @@
                 found = {t.info.incarnation: t for t in candidates}
                 target = found[choice.target.name]
                 return self._local_placement(request, target, in_time, choice, now)
-        return NoHome(late=bool(usable) and not in_time)
+        return NoLocalTarget(late=bool(usable) and not in_time)
 
     def _candidate_sets(
         self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
@@ -137,18 +137,18 @@
         usable: list[TrackedTarget],
         choice: TargetChoice,
         now: float,
-    ) -> AtHome:
+    ) -> LocalPlacement:
         rate = self._speeds.rate(request.service).tokens_per_second
         before = target.load.tokens_before(request.rank, rate, now)
         quiet = target.load.total(now).is_quiet
         if request.prompt is None:
-            return AtHome(
+            return LocalPlacement(
                 target, choice.reason, choice.expected, None, 0, before, quiet=quiet
             )
         source = fetch_source(target, usable, request.prompt, rate, now)
         sources = [target] if source is None else [target, source]
         cached = max(holder.memory.cached_tokens(request.prompt) for holder in sources)
-        return AtHome(
+        return LocalPlacement(
             target,
             choice.reason,
             choice.expected,
--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -21,7 +21,7 @@
 from bronzepoint_schema.ids import RegionName
 
 from ._ask import PlacementRequest
-from ._choice import Elsewhere
+from ._choice import RemotePlacement
 from ._region_owner import weighted_owner
 from ._service_estimates import ServiceEstimates
 
@@ -89,7 +89,7 @@
         request_view: RequestView,
         fresh_estimates: list[RegionTerms],
         now: float,
-    ) -> Elsewhere | None:
+    ) -> RemotePlacement | None:
         """Return the best other region for a request; None if there is none."""
         # Without recent data, as in a network partition of the core, older data is
         # better than none.
@@ -142,7 +142,7 @@
         estimates: list[RegionTerms],
         missing: int,
         own_slots: int,
-    ) -> Elsewhere | None:
+    ) -> RemotePlacement | None:
         """Return the region that caches a prompt's shared part, if forwarding pays.
 
         If each region read a shared part, it would take memory and time at three
@@ -179,10 +179,10 @@
         request: PlacementRequest,
         detail: str,
         delay: float,
-    ) -> Elsewhere:
+    ) -> RemotePlacement:
         region = estimate.view.name
         host = self._rng.choice(self._eligible_hosts(region, request))
-        return Elsewhere(region, host.name, host.forward_address, detail, delay)
+        return RemotePlacement(region, host.name, host.forward_address, detail, delay)
 
     def describe(
         self, service: str, request: PlacementRequest, now: float
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -11,13 +11,13 @@
 
 from ._ask import PlacementRequest, service_of
 from ._choice import (
-    AtHome,
-    Elsewhere,
+    LocalPlacement,
     LocalResult,
-    NoHome,
+    NoLocalTarget,
     Placement,
     Rejected,
     RejectReason,
+    RemotePlacement,
 )
 from ._cold_gate import ColdGate
 from ._local_request import LocalPlacementRequest
@@ -110,7 +110,7 @@
     def place(self, request: PlacementRequest, now: float) -> Placement:
         """Return a target of this region, a host of another one, or a refusal."""
         if not self.may_stay(request):
-            return self.decide(request, NoHome(), now)
+            return self.decide(request, NoLocalTarget(), now)
         return self.decide(
             request, self.home.choose(self.local_request(request), now), now
         )
@@ -125,7 +125,7 @@
             found: Result of the target selection in this region.
             now: Monotonic seconds.
         """
-        local = found if isinstance(found, AtHome) else None
+        local = found if isinstance(found, LocalPlacement) else None
         service = service_of(request.route, request.request_id)
         if request.forwarded:
             return local or self._reject(service, found)
@@ -145,10 +145,10 @@
         self,
         request: PlacementRequest,
         service: str,
-        local: AtHome,
+        local: LocalPlacement,
         estimates: list[RegionTerms],
         now: float,
-    ) -> Elsewhere | None:
+    ) -> RemotePlacement | None:
         """Return the region that caches parts of the prompt missing in this one.
 
         A part that another target of this region caches is copied from there, which
@@ -201,12 +201,12 @@
 
     def _reject(self, service: str, found: LocalResult) -> Rejected:
         """Return a refusal with the time after which to retry."""
-        if isinstance(found, NoHome) and found.late:
+        if isinstance(found, NoLocalTarget) and found.late:
             wait = SLOW_TARGET_WAIT * self._rng.uniform(0.7, 1.5)
             return Rejected(RejectReason.NO_TIME, wait, final=True)
         hold = self.speeds.times(service).hold
         wait = min(3.0, max(0.3, hold / 2)) * self._rng.uniform(0.7, 1.5)
-        is_final = isinstance(found, NoHome) and found.crowded
+        is_final = isinstance(found, NoLocalTarget) and found.crowded
         return Rejected(RejectReason.NO_ROOM, wait, is_final)
 
     def known_room(self, request: PlacementRequest, now: float) -> str:
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -9,7 +9,7 @@
 from bronzepoint_schema.generated.target_loads import PartUse
 from bronzepoint_schema.ids import HostName
 
-from ._choice import AtHome, LocalResult, NoHome
+from ._choice import LocalPlacement, LocalResult, NoLocalTarget
 from ._cold_gate import ColdGate
 from ._engine_load import OwnRun
 from ._local_request import LocalPlacementRequest
@@ -27,7 +27,7 @@
 If hosts repeated their queries at short intervals instead, a burst would use up the
 scheduler's processor."""
 
-Claim = Callable[[AtHome], None]
+Claim = Callable[[LocalPlacement], None]
 """Counts a request at its target, before any other request is placed."""
 
 
@@ -37,7 +37,7 @@
 
     request: LocalPlacementRequest = field(kw_only=True, compare=False)
     claim: Claim = field(kw_only=True, compare=False)
-    found: LocalResult = field(default=NoHome(), kw_only=True, compare=False)
+    found: LocalResult = field(default=NoLocalTarget(), kw_only=True, compare=False)
 
 
 class Scheduler:
@@ -82,11 +82,11 @@
         """
         number = next(self._numbers)
 
-        def claim(found: AtHome) -> None:
+        def claim(found: LocalPlacement) -> None:
             self._reserve(self._name, number, request, found)
 
         found = await self._find(request, wait, claim)
-        if isinstance(found, AtHome):
+        if isinstance(found, LocalPlacement):
             self._reservations.settle(self._name, [number])
         return found
 
@@ -94,14 +94,14 @@
         """Answer a query of another host, and reserve what it is granted."""
         request = _read_query(query, monotonic())
 
-        def claim(found: AtHome) -> None:
+        def claim(found: LocalPlacement) -> None:
             self._reserve(host, query.number, request, found)
 
         found = await self._find(request, query.wait_ms / 1000, claim)
         match found:
-            case NoHome(late=late, crowded=crowded):
+            case NoLocalTarget(late=late, crowded=crowded):
                 return NoTarget(query.number, late, crowded=crowded)
-            case AtHome(target=target, fetch_from=source):
+            case LocalPlacement(target=target, fetch_from=source):
                 return TargetGrant(
                     query.number,
                     target.info.incarnation,
@@ -162,13 +162,17 @@
     def _choose(self, request: LocalPlacementRequest, claim: Claim) -> LocalResult:
         now = monotonic()
         found = self._selector.choose(request, now)
-        if isinstance(found, NoHome):
+        if isinstance(found, NoLocalTarget):
             return found
         claim(found)
         return replace(found, known_age=self._known_age(now))
 
     def _reserve(
-        self, host: HostName, number: int, request: LocalPlacementRequest, found: AtHome
+        self,
+        host: HostName,
+        number: int,
+        request: LocalPlacementRequest,
+        found: LocalPlacement,
     ) -> None:
         now = monotonic()
         target, prompt = found.target, request.prompt
@@ -224,4 +228,4 @@
 
 
 def _lacks_capacity(found: LocalResult) -> bool:
-    return isinstance(found, NoHome) and not found.late
+    return isinstance(found, NoLocalTarget) and not found.late
--- a/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
@@ -20,7 +20,7 @@
 )
 from bronzepoint_schema.ids import HostName
 
-from ._choice import AtHome, LocalResult, NoHome
+from ._choice import LocalPlacement, LocalResult, NoLocalTarget
 from ._load_exchange import LoadExchange
 from ._local_request import LocalPlacementRequest
 from ._scheduler import MAX_WAIT, Scheduler, make_query
@@ -105,7 +105,7 @@
         timing = f"asked {scheduler}, {(monotonic() - began) * 1000:.0f} ms"
         match answer:
             case NoTarget(late=late, crowded=crowded):
-                return NoHome(late, crowded)
+                return NoLocalTarget(late, crowded)
             case TargetGrant():
                 target = self._table.get(answer.incarnation)
                 if target is not None:
@@ -114,15 +114,15 @@
         # yet.
         self._metrics.incr("schedule.own_choice")
         found = await self._scheduler.find(request, 0.0)
-        if isinstance(found, AtHome):
+        if isinstance(found, LocalPlacement):
             reason = f"{found.reason}; {timing}, own choice"
             return dataclasses.replace(found, reason=reason)
         return found
 
     def _local_placement(
         self, target: TrackedTarget, grant: TargetGrant, timing: str
-    ) -> AtHome:
-        return AtHome(
+    ) -> LocalPlacement:
+        return LocalPlacement(
             target,
             f"{grant.reason}; {timing}",
             grant.delay_ms / 1000,
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -6,7 +6,7 @@
 from bronzepoint_common.http import Disconnected, Exchange
 from bronzepoint_common.logs import get_logger
 from bronzepoint_node.placement import (
-    NoHome,
+    NoLocalTarget,
     Placement,
     PlacementRequest,
     Placer,
@@ -198,7 +198,7 @@
         while True:
             request = self._placement_request(call)
             call.placement_requests += 1
-            found = NoHome()
+            found = NoLocalTarget()
             if self._placer.may_stay(request):
                 found = await self._scheduler.find(
                     self._placer.local_request(request), wait
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -8,10 +8,10 @@
 from bronzepoint_common.http import HttpClient
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.placement import (
-    AtHome,
     ColdGate,
-    Elsewhere,
+    LocalPlacement,
     Placer,
+    RemotePlacement,
     TargetTable,
     is_silent,
 )
@@ -101,7 +101,7 @@
         self._metrics = metrics
 
     async def send(
-        self, call: Call, placement: AtHome | Elsewhere, service: str
+        self, call: Call, placement: LocalPlacement | RemotePlacement, service: str
     ) -> TryOutcome:
         """Send a request to its placement, and stream the answer to the caller.
 
@@ -117,9 +117,9 @@
         call.sends += 1
         call.written = False
         match placement:
-            case AtHome():
+            case LocalPlacement():
                 outcome = await self._try_target(call, placement, service)
-            case Elsewhere():
+            case RemotePlacement():
                 outcome = await self._try_region(call, placement, service)
         if not isinstance(outcome, NotRun):
             call.runs += 1
@@ -128,7 +128,7 @@
             call.written = False
             call.arrivals += outcome.by_target
         call.notes[-1] += f" -> {outcome.reason}"
-        if isinstance(outcome, MayHaveRun) and isinstance(placement, AtHome):
+        if isinstance(outcome, MayHaveRun) and isinstance(placement, LocalPlacement):
             await self._check_whether_ended(call, placement.target.info)
         self._metrics.incr(f"try.{outcome.reason}")
         return outcome
@@ -146,7 +146,7 @@
             self._metrics.incr("try.target_ended")
 
     async def _try_target(
-        self, call: Call, placement: AtHome, service: str
+        self, call: Call, placement: LocalPlacement, service: str
     ) -> TryOutcome:
         target = placement.target
         name = target.info.incarnation
@@ -239,7 +239,7 @@
                 self._watch.note_broken(target, run)
 
     async def _try_region(
-        self, call: Call, placement: Elsewhere, service: str
+        self, call: Call, placement: RemotePlacement, service: str
     ) -> TryOutcome:
         call.tried_hosts.add(placement.host)
         call.notes.append(f"{placement.region} {placement.host}: {placement.reason}")
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -18,9 +18,9 @@
     ServedService,
 )
 from bronzepoint_node.placement import (
-    AtHome,
     ColdGate,
     LoadExchange,
+    LocalPlacement,
     Placer,
     Prompt,
     PromptPart,
@@ -225,6 +225,6 @@
         """Find a target and count a request there, as a sender does."""
         request = self.make_request(**options)
         found = await self.client.find(request, wait)
-        if isinstance(found, AtHome):
+        if isinstance(found, LocalPlacement):
             found.target.begin(run_id, request.prompt, request.rank, monotonic())
         return found
--- a/tests/test_core_notices.py
+++ b/tests/test_core_notices.py
@@ -18,7 +18,7 @@
 )
 from bronzepoint_node.fleet import COLLECTOR_ORDER
 from bronzepoint_node.fleet._registry import CORE_EXPIRY
-from bronzepoint_node.placement import NoHome
+from bronzepoint_node.placement import NoLocalTarget
 from bronzepoint_node.quarantine import CrashRecord
 from bronzepoint_schema.generated.fleet import CoreHost, CoreNotice, RegionLoad
 from tests._scheduling_region import SLOTS, Region
@@ -113,7 +113,7 @@
                 return placement, host.registry.loads()
 
         placement, loads = curio.run(main)
-        self.assertEqual(placement, NoHome(late=False))
+        self.assertEqual(placement, NoLocalTarget(late=False))
         known = {each.region: each.in_progress for each in loads}
         self.assertEqual(known["y"], 3)
 
--- a/tests/test_placement_fetch.py
+++ b/tests/test_placement_fetch.py
@@ -5,7 +5,12 @@
 from nose2.tools import params
 
 from bronzepoint_node.fleet import EngineFacts, ServedService
-from bronzepoint_node.placement import AtHome, Elsewhere, Prompt, PromptPart
+from bronzepoint_node.placement import (
+    LocalPlacement,
+    Prompt,
+    PromptPart,
+    RemotePlacement,
+)
 from bronzepoint_node.placement._fetch_source import MIN_TOKENS, fetch_source
 from bronzepoint_node.placement._region_owner import weighted_owner
 from tests.test_placement_placer import Site, info
@@ -82,7 +87,7 @@
         self.assertEqual(read, 100)
         self.assertEqual(target.memory.cached_tokens(prompt()), 5100)
 
-    @params((True, AtHome), (False, Elsewhere))
+    @params((True, LocalPlacement), (False, RemotePlacement))
     def test_region_that_keeps_a_part_fetches_it(self, kept_here, expected):
         """Guards against forwarding a prompt whose shared part is cached here.
 
--- a/tests/test_placement_many_targets.py
+++ b/tests/test_placement_many_targets.py
@@ -10,7 +10,7 @@
 from nose2.tools import params
 
 from bronzepoint_common.clock import monotonic
-from bronzepoint_node.placement import AtHome, NoHome, Prompt, PromptPart
+from bronzepoint_node.placement import LocalPlacement, NoLocalTarget, Prompt, PromptPart
 from bronzepoint_node.placement._engine_load import OwnRun
 from bronzepoint_node.placement._load_collector import MAX_REPORTED, NOTICE_INTERVAL
 from bronzepoint_node.placement._load_exchange import REPORT_INTERVAL
@@ -107,7 +107,7 @@
         found, views = self._choose(
             lambda table: None, lambda host: host.make_request()
         )
-        self.assertIsInstance(found, AtHome)
+        self.assertIsInstance(found, LocalPlacement)
         self.assertLess(views, 2 * MAX_GROUP_SIZE)
 
     def test_full_group_is_left_for_another(self):
@@ -124,7 +124,7 @@
             return request
 
         found, views = self._choose(fill_first_group, request_for)
-        self.assertIsInstance(found, AtHome)
+        self.assertIsInstance(found, LocalPlacement)
         self.assertLess(views, 2 * MAX_GROUPS * MAX_GROUP_SIZE)
 
     def test_choice_among_full_targets_is_bounded_too(self):
@@ -133,7 +133,7 @@
                 fill(tracked)
 
         found, views = self._choose(fill_all, lambda host: host.make_request())
-        self.assertEqual(found, NoHome(late=False))
+        self.assertEqual(found, NoLocalTarget(late=False))
         self.assertLess(views, 2 * MAX_GROUPS * MAX_GROUP_SIZE)
 
 
--- a/tests/test_placement_pace.py
+++ b/tests/test_placement_pace.py
@@ -6,12 +6,12 @@
 
 from bronzepoint_node.fleet import EngineFacts, ServedService
 from bronzepoint_node.placement import (
-    AtHome,
-    Elsewhere,
+    LocalPlacement,
     Prompt,
     PromptPart,
     Rejected,
     RejectReason,
+    RemotePlacement,
 )
 from bronzepoint_node.placement._pace import MIN_EVENTS, TIME_CONSTANT, Pace
 from tests.test_placement_placer import Site, info
@@ -51,10 +51,10 @@
 class TestWhatIsBegun(unittest.TestCase):
     @params(
         # seconds per event, tokens of the answer, expected result
-        (0.05, 350, AtHome),
-        (0.1, 350, AtHome),
+        (0.05, 350, LocalPlacement),
+        (0.1, 350, LocalPlacement),
         (0.5, 350, Rejected),
-        (0.5, 35, AtHome),
+        (0.5, 35, LocalPlacement),
     )
     def test_stream_that_would_outlast_its_deadline(self, pace, output, expected):
         """Guards against streams that end unfinished at their deadline, 200 in a day.
@@ -70,7 +70,7 @@
         if expected is Rejected:
             self.assertEqual(placed.reason, RejectReason.NO_TIME)
 
-    @params(({"b": 0}, Elsewhere), ({}, Rejected))
+    @params(({"b": 0}, RemotePlacement), ({}, Rejected))
     def test_another_region_may_be_in_time(self, remote_loads, expected):
         site = Site(info("t1"), service=SERVICE)
         site.remote_loads(**remote_loads)
@@ -101,9 +101,9 @@
             request_prompt = prompt(12_000, 70, f"own-{number}")
             placed = site.place(prompt=request_prompt)
             outcomes.append(type(placed))
-            if isinstance(placed, AtHome):
+            if isinstance(placed, LocalPlacement):
                 tracked.begin(f"r{number}", request_prompt, 2, site.now)
-        started = outcomes.count(AtHome)
+        started = outcomes.count(LocalPlacement)
         rate = site.placer.speeds.rate("s").tokens_per_second
         self.assertGreater(started, 5)
         self.assertLess(started * 12_000 / rate, 2 * TIME_LEFT)
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -17,16 +17,16 @@
     ServiceShare,
 )
 from bronzepoint_node.placement import (
-    AtHome,
     ColdGate,
-    Elsewhere,
     EngineReport,
+    LocalPlacement,
     PlacementRequest,
     Placer,
     Prober,
     Prompt,
     PromptPart,
     Rejected,
+    RemotePlacement,
     ReportOfOtherStart,
     ReportUnavailable,
     ReportUnreadable,
@@ -94,11 +94,11 @@
 
 class TestLocalOrRemote(unittest.TestCase):
     @params(
-        ([info("t1")], (), {"b": 0}, False, AtHome),
+        ([info("t1")], (), {"b": 0}, False, LocalPlacement),
         # targets that may get no requests
-        ([info("t1", leaving=True)], (), {"b": 0}, False, Elsewhere),
-        ([info("t1")], ("a-1",), {"b": 0}, False, Elsewhere),
-        ([], (), {"b": 0}, False, Elsewhere),
+        ([info("t1", leaving=True)], (), {"b": 0}, False, RemotePlacement),
+        ([info("t1")], ("a-1",), {"b": 0}, False, RemotePlacement),
+        ([], (), {"b": 0}, False, RemotePlacement),
         # another region is full, or none is known
         ([], (), {"b": 96}, False, Rejected),
         ([], (), {}, False, Rejected),
@@ -146,7 +146,11 @@
 
 
 class TestLongPrompts(unittest.TestCase):
-    @params((0, math.inf, Elsewhere), (37_000, 6e5, AtHome), (37_000, 1e8, Elsewhere))
+    @params(
+        (0, math.inf, RemotePlacement),
+        (37_000, 6e5, LocalPlacement),
+        (37_000, 1e8, RemotePlacement),
+    )
     def test_body_that_takes_long_on_a_narrow_link_stays(self, size, link, expected):
         """Guards against late answers to long prompts that were forwarded.
 
@@ -157,14 +161,14 @@
         site = Site(info("t1"))
         site.remote_loads(b=0)
         site.placer.regions._link_bytes = link
-        local = AtHome(site.table.get("t1"), "", 0.38)
+        local = LocalPlacement(site.table.get("t1"), "", 0.38)
         request = site.make_request()
         request.body_bytes = size
         self.assertIsInstance(site.placer.decide(request, local, site.now), expected)
 
 
 class TestForwardedRequests(unittest.TestCase):
-    @params((True, Elsewhere), (False, Rejected))
+    @params((True, RemotePlacement), (False, Rejected))
     def test_answered_requests_free_capacity(self, answered, expected):
         """Guards against refused requests while the other regions are idle.
 
@@ -219,12 +223,12 @@
         unresponsive.record_failure(site.now - 1.0)
         unresponsive.record_failure(site.now - 0.5)
         first = site.place()
-        self.assertIsInstance(first, AtHome)
+        self.assertIsInstance(first, LocalPlacement)
         unresponsive.trial_at = site.now
-        expected = Elsewhere if remote_loads else Rejected
+        expected = RemotePlacement if remote_loads else Rejected
         self.assertIsInstance(site.place(), expected)
         site.now += 1.1
-        self.assertIsInstance(site.place(), AtHome)
+        self.assertIsInstance(site.place(), LocalPlacement)
 
     def test_any_answer_makes_a_target_responsive(self):
         site = Site(info("t1"), service=PLAIN)
@@ -255,7 +259,7 @@
         for _ in range(int(seconds * 50) + 1):
             site.now += 0.02
             placement = site.place()
-            if isinstance(placement, AtHome):
+            if isinstance(placement, LocalPlacement):
                 site.placer.home._cold.note_sent("t1", site.now)
                 sent += 1
         self.assertLessEqual(sent, 1 + seconds * 2.0 * 0.7)
@@ -301,14 +305,14 @@
         site.remote_loads(b=0, c=0)
         prompt = self.prompt_owned_by("b")
         site.table.get("t1").memory.note_used(prompt)
-        self.assertIsInstance(site.place(prompt=prompt), AtHome)
+        self.assertIsInstance(site.place(prompt=prompt), LocalPlacement)
 
     def test_busy_cache_holder_is_not_waited_for(self):
         site = Site(info("t1"))
         site.registry.hear_loads([RegionLoad("b", "s", 64, 10, 900, 0)])
         site.remote_loads(c=0)
         placement = site.place(prompt=self.prompt_owned_by("b"))
-        self.assertIsInstance(placement, AtHome)
+        self.assertIsInstance(placement, LocalPlacement)
 
 
 if __name__ == "__main__":
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.peers import Area
-from bronzepoint_node.placement import AtHome, NoHome, Prompt, PromptPart
+from bronzepoint_node.placement import LocalPlacement, NoLocalTarget, Prompt, PromptPart
 from bronzepoint_node.placement._engine_load import (
     RESERVATION_EXPIRY,
     EngineLoad,
@@ -47,7 +47,7 @@
     """Send a request as a host that relies on the last reports it received."""
     request = host.make_request()
     found = host.placer.home.choose(request, monotonic())
-    if isinstance(found, AtHome):
+    if isinstance(found, LocalPlacement):
         found.target.begin(run_id, request.prompt, 0, monotonic())
 
 
@@ -198,7 +198,7 @@
                 host = next(iter(region.hosts.values()))
                 return await host.send("x")
 
-        self.assertIsInstance(curio.run(main), AtHome)
+        self.assertIsInstance(curio.run(main), LocalPlacement)
 
 
 class TestReservations(unittest.TestCase):
@@ -255,7 +255,7 @@
                 return took, found, host.exchange.scheduler, dead.name
 
         took, found, scheduler, dead = curio.run(main)
-        self.assertTrue(all(isinstance(each, AtHome) for each in found))
+        self.assertTrue(all(isinstance(each, LocalPlacement) for each in found))
         self.assertNotEqual(scheduler, dead)
         self.assertGreaterEqual(min(took[:MAX_UNANSWERED]), ANSWER_TIMEOUT)
         self.assertLess(sum(took[MAX_UNANSWERED:]), ANSWER_TIMEOUT)
@@ -316,7 +316,7 @@
                     found = await members[number].send(
                         "x", wait=0.2, rank=ranks[number], arrived=arrived
                     )
-                    if isinstance(found, AtHome):
+                    if isinstance(found, LocalPlacement):
                         served.append(number)
 
                 async with curio.TaskGroup() as group:
@@ -402,7 +402,7 @@
                 member = region.members[0]
                 return await member.send("x", wait=0.1)
 
-        self.assertEqual(curio.run(main), NoHome(late=False))
+        self.assertEqual(curio.run(main), NoLocalTarget(late=False))
 
 
 class TestTalk(unittest.TestCase):
--- a/tests/test_placement_suspects.py
+++ b/tests/test_placement_suspects.py
@@ -7,7 +7,7 @@
 from nose2.tools import params
 
 from bronzepoint_common.clock import monotonic
-from bronzepoint_node.placement import AtHome, NoHome
+from bronzepoint_node.placement import LocalPlacement, NoLocalTarget
 from bronzepoint_node.placement._tracked_target import ISOLATION_TIME
 from bronzepoint_node.quarantine import RequestNames, WatchedRun
 from tests._scheduling_region import Region
@@ -17,7 +17,7 @@
     """Find a target as a sender does; a suspect counts as on trial there."""
     request = msgspec.structs.replace(host.make_request(), suspect=suspect)
     found = await host.client.find(request, 0.0)
-    if isinstance(found, AtHome):
+    if isinstance(found, LocalPlacement):
         found.target.begin("id", request.prompt, 0, monotonic())
         if suspect:
             names = RequestNames("q", "*q")
@@ -84,7 +84,7 @@
                 request = first.make_request()
                 return first.placer.home.choose(request, monotonic())
 
-        self.assertNotIsInstance(curio.run(main), NoHome)
+        self.assertNotIsInstance(curio.run(main), NoLocalTarget)
 
 
 if __name__ == "__main__":
