--- a/packages/node/src/bronzepoint_node/entry/_collaborators.py
+++ b/packages/node/src/bronzepoint_node/entry/_collaborators.py
@@ -11,11 +11,11 @@
 from bronzepoint_node.agreement import AgreementStatus
 from bronzepoint_node.membership import HostInfo, RegionSummary
 from bronzepoint_node.policy import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
     RegionView,
+    RemotePlacement,
     RequestView,
     TargetView,
     Ticket,
@@ -130,7 +130,7 @@
     async def try_ended(
         self,
         ticket: Ticket,
-        placement: Home | Away,
+        placement: LocalPlacement | RemotePlacement,
         result: TryResult,
         first_token: float | None,
     ) -> None:
--- a/packages/node/src/bronzepoint_node/entry/_dispatch.py
+++ b/packages/node/src/bronzepoint_node/entry/_dispatch.py
@@ -13,11 +13,11 @@
 from bronzepoint_node.entry._remote_tries import RemoteTries
 from bronzepoint_node.entry._served_request import ServedRequest
 from bronzepoint_node.policy import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
     RegionView,
+    RemotePlacement,
     TargetView,
     Ticket,
 )
@@ -73,10 +73,10 @@
             match placement:
                 case Refused():
                     raise refused_by_policy(placement, last)
-                case Home():
+                case LocalPlacement():
                     tries = self._local_tries
                     outcome = await tries.try_target(request, ticket, placement, token)
-                case Away():
+                case RemotePlacement():
                     tries = self._remote_tries
                     outcome = await tries.try_region(request, ticket, placement, token)
             if isinstance(outcome, Answered):
@@ -117,7 +117,7 @@
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placement: Home | Away,
+        placement: LocalPlacement | RemotePlacement,
         failed: Failed,
     ) -> bool:
         """Return whether to retry; if so, exclude the failed target or region."""
@@ -127,15 +127,15 @@
             return False
         if request.deadline_left() <= 0:
             return False
-        region = placement.region if isinstance(placement, Away) else None
+        region = placement.region if isinstance(placement, RemotePlacement) else None
         if not failed.granted and not self._dependencies.policy.may_retry(
             ticket, failed.reason, region
         ):
             return False
         request.trace.retried(failed.reason)
         match placement:
-            case Home(target):
+            case LocalPlacement(target):
                 request.view.tried.append(target.name)
-            case Away(region):
+            case RemotePlacement(region):
                 request.view.tried_regions.append(region)
         return True
--- a/packages/node/src/bronzepoint_node/entry/_local_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_local_tries.py
@@ -13,7 +13,7 @@
 from bronzepoint_node.entry._served_request import ServedRequest
 from bronzepoint_node.entry._target_answer_check import TargetAnswerCheck
 from bronzepoint_node.entry._upstream import Upstream, UpstreamRequest
-from bronzepoint_node.policy import Home, Ticket
+from bronzepoint_node.policy import LocalPlacement, Ticket
 from bronzepoint_node.run_once import ClaimToken
 from bronzepoint_schema.generated.catalogue import Target
 from bronzepoint_schema.generated.decisions import RetryReason, Try, TryResult
@@ -48,7 +48,7 @@
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placement: Home,
+        placement: LocalPlacement,
         token: ClaimToken | None,
     ) -> Outcome:
         """Send the request to the chosen target.
@@ -80,7 +80,7 @@
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placement: Home,
+        placement: LocalPlacement,
         token: ClaimToken | None,
         current_try: Try,
     ) -> Outcome:
--- a/packages/node/src/bronzepoint_node/entry/_remote_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_remote_tries.py
@@ -6,7 +6,7 @@
 from bronzepoint_node.entry._forwarding import Forwarding
 from bronzepoint_node.entry._outcomes import Answered, Failed, Outcome, result_of
 from bronzepoint_node.entry._served_request import ServedRequest
-from bronzepoint_node.policy import Away, Ticket
+from bronzepoint_node.policy import RemotePlacement, Ticket
 from bronzepoint_node.run_once import ClaimToken
 from bronzepoint_schema.generated.decisions import TryResult
 
@@ -31,7 +31,7 @@
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placement: Away,
+        placement: RemotePlacement,
         token: ClaimToken | None,
     ) -> Outcome:
         """Forward the request to the chosen region, which serves or refuses it.
@@ -52,7 +52,10 @@
         return outcome
 
     async def _forward(
-        self, request: ServedRequest, placement: Away, token: ClaimToken | None
+        self,
+        request: ServedRequest,
+        placement: RemotePlacement,
+        token: ClaimToken | None,
     ) -> Outcome:
         permit = await permit_dispatch(self._dependencies.run_once, token)
 
@@ -68,5 +71,5 @@
             check,
             final=True,
             claimed=token is not None,
-            max_wait=placement.patience if request.call.idempotent else 0.0,
+            max_wait=placement.max_wait if request.call.idempotent else 0.0,
         )
--- a/packages/node/src/bronzepoint_node/entry/_trace.py
+++ b/packages/node/src/bronzepoint_node/entry/_trace.py
@@ -2,7 +2,7 @@
 
 import time
 
-from bronzepoint_node.policy import Away, Home, Refused
+from bronzepoint_node.policy import LocalPlacement, Refused, RemotePlacement
 from bronzepoint_schema.generated.decisions import (
     DecisionRecord,
     Outcome,
@@ -53,7 +53,9 @@
         """Add a note about a decision."""
         self.record.notes.append(text)
 
-    def record_placement(self, placement: Home | Away | Refused) -> None:
+    def record_placement(
+        self, placement: LocalPlacement | RemotePlacement | Refused
+    ) -> None:
         """Record the candidates, choice and reason of a placement."""
         record = self.record
         record.candidates = placement.candidates[:MAX_CANDIDATES]
@@ -62,9 +64,9 @@
             if note not in record.notes:
                 record.notes.append(note)
         match placement:
-            case Home(target):
+            case LocalPlacement(target):
                 record.choice = target.name
-            case Away(region):
+            case RemotePlacement(region):
                 record.choice = region
             case Refused():
                 record.choice = ""
--- a/packages/node/src/bronzepoint_node/policy/__init__.py
+++ b/packages/node/src/bronzepoint_node/policy/__init__.py
@@ -16,10 +16,10 @@
 )
 from bronzepoint_node.policy._limits import Limits, RegionHosts
 from bronzepoint_node.policy._outputs import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
+    RemotePlacement,
     TargetChoice,
 )
 from bronzepoint_node.policy._policy import Policy, Ticket
@@ -29,8 +29,8 @@
 
 __all__ = [
     "Admission",
-    "Away",
-    "Home",
+    "RemotePlacement",
+    "LocalPlacement",
     "Limits",
     "Placement",
     "Policy",
--- a/packages/node/src/bronzepoint_node/policy/_baselines.py
+++ b/packages/node/src/bronzepoint_node/policy/_baselines.py
@@ -9,7 +9,7 @@
 from bronzepoint_node.policy._choose_region import region_exclusion, residency_allows
 from bronzepoint_node.policy._choose_target import target_exclusion
 from bronzepoint_node.policy._inputs import RegionView, RequestView, TargetView
-from bronzepoint_node.policy._outputs import Away, Home, Placement
+from bronzepoint_node.policy._outputs import LocalPlacement, Placement, RemotePlacement
 from bronzepoint_node.policy._refusals import no_region, no_target
 from bronzepoint_schema.generated.decisions import Candidate
 from bronzepoint_schema.generated.settings import PolicyChoice
@@ -38,7 +38,9 @@
         if self._choice is PolicyChoice.random_region and not request.forwarded:
             region = self._random_region(request, regions)
             if region != self._region:
-                return Away(region, [Candidate(region, region)], "drawn at random")
+                return RemotePlacement(
+                    region, [Candidate(region, region)], "drawn at random"
+                )
         if not residency_allows(request, self._region):
             return no_region(request, [])
         usable = [view for view in views if target_exclusion(view, request) is None]
@@ -46,7 +48,7 @@
         if not usable:
             return no_target(request, candidates)
         target = self._choose_target(usable)
-        return Home(target, candidates, f"by {self._choice}")
+        return LocalPlacement(target, candidates, f"by {self._choice}")
 
     def _choose_target(self, usable: list[TargetView]) -> TargetView:
         match self._choice:
--- a/packages/node/src/bronzepoint_node/policy/_outputs.py
+++ b/packages/node/src/bronzepoint_node/policy/_outputs.py
@@ -39,7 +39,7 @@
     expected: float = 0.0
 
 
-class Home(Struct):
+class LocalPlacement(Struct):
     """Serve the request at this target of this region."""
 
     target: TargetView
@@ -48,11 +48,11 @@
     notes: list[str] = field(default_factory=list)
 
 
-class Away(Struct):
+class RemotePlacement(Struct):
     """Forward the request to a host of another region.
 
     Attributes:
-        patience: longest wait in seconds for the head of the answer; 0: until the
+        max_wait: longest wait in seconds for the head of the answer; 0: until the
             deadline, for a request that must not run twice.
     """
 
@@ -60,7 +60,7 @@
     candidates: list[Candidate]
     reason: str
     notes: list[str] = field(default_factory=list)
-    patience: float = 0.0
+    max_wait: float = 0.0
 
 
 class Refused(Struct):
@@ -79,4 +79,4 @@
     notes: list[str] = field(default_factory=list)
 
 
-Placement = Home | Away | Refused
+Placement = LocalPlacement | RemotePlacement | Refused
--- a/packages/node/src/bronzepoint_node/policy/_policy.py
+++ b/packages/node/src/bronzepoint_node/policy/_policy.py
@@ -24,10 +24,10 @@
 )
 from bronzepoint_node.policy._other_regions import OtherRegions
 from bronzepoint_node.policy._outputs import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
+    RemotePlacement,
     TargetChoice,
 )
 from bronzepoint_node.policy._ramp import ForwardRamp
@@ -122,8 +122,8 @@
     ) -> Placement:
         """Choose where a request goes; may wait for a free target.
 
-        After `Home`, count the request at its target before awaiting anything;
-        otherwise other requests are placed by the old counts.
+        After `LocalPlacement`, count the request at its target before awaiting
+        anything; otherwise other requests are placed by the old counts.
         """
         request = ticket.request
         request.deadline_left = ticket.deadline - time.monotonic()
@@ -152,7 +152,7 @@
     async def try_ended(
         self,
         ticket: Ticket,
-        placed: Home | Away,
+        placed: LocalPlacement | RemotePlacement,
         result: TryResult,
         first_token: float | None,
     ) -> None:
@@ -168,7 +168,7 @@
         now = time.monotonic()
         estimates = self._estimates_for(request.entry)
         match placed:
-            case Home(target):
+            case LocalPlacement(target):
                 if result is TryResult.timeout:
                     # The elapsed time is a lower bound that marks the target as slow.
                     first_token = now - ticket.placed_at
@@ -184,7 +184,7 @@
                     estimates.times.add_hold((now - ticket.placed_at) / slowness)
                     self._retry_budget.answered(request.entry, self._region)
                 await self._release_slot(ticket)
-            case Away(region):
+            case RemotePlacement(region):
                 if result is TryResult.answered:
                     self._retry_budget.answered(request.entry, region)
                 self._other_regions.record_end(request, region, result, now)
@@ -290,7 +290,7 @@
         max_wait = _FORWARD_WAIT_MARGIN_SECONDS + decided.expected
         if not request.idempotent:
             max_wait = 0.0
-        return Away(decided.region, candidates, decided.reason, [], max_wait)
+        return RemotePlacement(decided.region, candidates, decided.reason, [], max_wait)
 
     def _place_locally(
         self,
@@ -304,7 +304,7 @@
         if choice.target is not None and ahead < 1:
             ticket.expected_wait = choice.wait
             reason = f"{region_reason}; {choice.reason}"
-            return Home(choice.target, candidates, reason)
+            return LocalPlacement(choice.target, candidates, reason)
         if choice.usable == 0:
             return no_target(ticket.request, candidates)
         return None
@@ -339,11 +339,11 @@
         request = ticket.request
         ticket.placed_at = time.monotonic()
         match placed:
-            case Home():
+            case LocalPlacement():
                 ticket.holds_slot = True
                 self._admission.started(ticket.pool, request.owner)
                 self._metrics.incr("placed.home")
-            case Away(region):
+            case RemotePlacement(region):
                 self._other_regions.record_sent(request.entry, region, ticket.placed_at)
                 self._metrics.incr("placed.away")
             case Refused(kind):
--- a/tests/_entry_site.py
+++ b/tests/_entry_site.py
@@ -20,10 +20,10 @@
 from bronzepoint_node.entry import Collaborators, Gateway
 from bronzepoint_node.membership import HostInfo, HostState, RegionSummary
 from bronzepoint_node.policy import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
+    RemotePlacement,
     RequestView,
     TargetView,
     Ticket,
@@ -201,7 +201,7 @@
         self.region = region
         self.admission_refusal: Refused | None = None
         self.away: list[str] = []
-        self.patience = 0.0
+        self.max_wait = 0.0
         self.on_place: Callable[[], None] = lambda: None
         self.admitted = 0
         self.left: list[tuple[bool, int]] = []
@@ -226,13 +226,13 @@
         if self.region not in self.away and (allowed is None or self.region in allowed):
             for target in targets:
                 if target.name not in request.tried:
-                    return Home(target, [], "first untried target")
+                    return LocalPlacement(target, [], "first untried target")
         for view in regions if not request.forwarded else []:
             name = view.name
             free = name not in request.tried_regions and name != self.region
             if free and (allowed is None or name in allowed):
                 reason = "first untried region"
-                return Away(name, [], reason, patience=self.patience)
+                return RemotePlacement(name, [], reason, max_wait=self.max_wait)
         return Refused(RefusalKind.no_target, "No target.", "Come back.", 2.0)
 
     async def try_ended(self, ticket, placement, result, first_token) -> None:
--- a/tests/test_entry_forwarding.py
+++ b/tests/test_entry_forwarding.py
@@ -13,7 +13,7 @@
     encode_context,
 )
 from bronzepoint_node.entry._refusals import RequestRefused
-from bronzepoint_node.policy import Away
+from bronzepoint_node.policy import RemotePlacement
 from bronzepoint_schema.generated.catalogue import Residency, ResidencyRule
 from bronzepoint_schema.generated.decisions import Outcome, TryResult
 from tests._entry_site import CHAT, Site, chat, read_refusal, run
@@ -264,7 +264,7 @@
         async def main() -> None:
             async with Site("bkk", "sgp", "cnx") as site:
                 policy = site.hosts["bkk-1"].policy
-                policy.away, policy.patience = ["bkk"], 0.05
+                policy.away, policy.max_wait = ["bkk"], 0.05
                 site.targets["cnx-t1"].script = never_answers
                 answer = await site.request("bkk-1", body=chat())
                 self.assertEqual(answer.body, f"sgp:{site.last_id}".encode())
@@ -290,4 +290,4 @@
 
 
 def _remote_placement(region: str):
-    return Away(region, [], "on purpose")
+    return RemotePlacement(region, [], "on purpose")
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -6,7 +6,7 @@
 from nose2.tools import params
 
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.policy import Admission, Home, Refused
+from bronzepoint_node.policy import Admission, LocalPlacement, Refused
 from bronzepoint_node.policy._waiting import QueuedRequest, RequestQueue
 from bronzepoint_schema.generated.catalogue import EntryClass
 from tests._policy_fakes import request, target
@@ -27,7 +27,7 @@
                 return None
             self.free -= 1
             self.started.append(req.request_id)
-            return Home(target("a"), [], "")
+            return LocalPlacement(target("a"), [], "")
 
         return place
 
@@ -46,7 +46,7 @@
             req, POOL, self.targets.place_for(req), lambda: self.start_interval, 0.05
         )
         self.answers[req.request_id] = placed
-        if isinstance(placed, Home):
+        if isinstance(placed, LocalPlacement):
             self.admission.started(POOL, req.owner)
 
     async def queue(self, requests):
--- a/tests/test_policy_whole.py
+++ b/tests/test_policy_whole.py
@@ -6,7 +6,14 @@
 from nose2.tools import params
 
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.policy import Away, Home, Policy, Refused, RegionHosts, RegionView
+from bronzepoint_node.policy import (
+    LocalPlacement,
+    Policy,
+    Refused,
+    RegionHosts,
+    RegionView,
+    RemotePlacement,
+)
 from bronzepoint_schema.generated.decisions import RetryReason, TryResult
 from bronzepoint_schema.generated.settings import PolicyChoice, PolicySection
 from tests._policy_fakes import Bounds, FakeCatalogue, FakeNet, request, target
@@ -39,7 +46,7 @@
         placed = await self.policy.place(
             ticket, lambda: self.views, lambda: self.regions
         )
-        if isinstance(placed, Home):
+        if isinstance(placed, LocalPlacement):
             placed.target.in_flight += 1
         return ticket, placed
 
@@ -53,7 +60,7 @@
     def test_record_names_all_candidates_and_limits(self):
         harness = Harness(acme=Bounds(rate=10))
         _, placed = curio.run(harness.place, request())
-        self.assertIsInstance(placed, Home)
+        self.assertIsInstance(placed, LocalPlacement)
         names = {candidate.name for candidate in placed.candidates}
         self.assertEqual(names, {"bkk", "sgp", "a", "b"})
         self.assertIn("limits: within owner:acme", placed.notes)
@@ -63,7 +70,7 @@
         harness = Harness()
         harness.views = []
         _, away = curio.run(harness.place, request())
-        self.assertIsInstance(away, Away)
+        self.assertIsInstance(away, RemotePlacement)
         _, refused = curio.run(harness.place, request(allowed_regions=["bkk"]))
         self.assertEqual(refused.kind, "no_target")
 
@@ -93,7 +100,7 @@
             _, again = await waiting.join()
             return again
 
-        self.assertIsInstance(curio.run(main), Home)
+        self.assertIsInstance(curio.run(main), LocalPlacement)
 
     def test_limit_refuses(self):
         harness = Harness(acme=Bounds(in_progress=1))
@@ -108,7 +115,7 @@
         refused, again = curio.run(main)
         self.assertEqual(refused.kind, "in_progress_limited")
         self.assertGreater(refused.retry_after, 0)
-        self.assertIsInstance(again, Home)
+        self.assertIsInstance(again, LocalPlacement)
 
     def test_waiting_request_starts_when_one_ends(self):
         harness = Harness()
@@ -125,7 +132,7 @@
             return placed
 
         placed = curio.run(main)
-        self.assertIsInstance(placed, Home)
+        self.assertIsInstance(placed, LocalPlacement)
         self.assertIn("admission: waited", placed.notes[-1])
 
     @params((True, 1.0), (False, 0.0))
@@ -149,8 +156,8 @@
             return placed, may_retry_it, again
 
         placed, may_retry_it, again = curio.run(main)
-        self.assertGreaterEqual(placed.patience, least)
-        self.assertEqual(placed.patience > 0, idempotent)
+        self.assertGreaterEqual(placed.max_wait, least)
+        self.assertEqual(placed.max_wait > 0, idempotent)
         self.assertEqual(may_retry_it, idempotent)
         self.assertEqual(again.kind, "no_target")
 
@@ -200,5 +207,7 @@
             return free, home
 
         free, home = curio.run(main)
-        self.assertEqual({type(placed) for placed in free}, {Home, Away})
-        self.assertEqual({type(placed) for placed in home}, {Home})
+        self.assertEqual(
+            {type(placed) for placed in free}, {LocalPlacement, RemotePlacement}
+        )
+        self.assertEqual({type(placed) for placed in home}, {LocalPlacement})
