--- a/packages/node/src/bronzepoint_node/core/_region_scheduler.py
+++ b/packages/node/src/bronzepoint_node/core/_region_scheduler.py
@@ -89,7 +89,7 @@
             self._placer.home,
             cold_limiter,
             reservations,
-            self._exchange.known_age,
+            self._exchange.staleness,
         )
         self._answers = SchedulerClient(
             peers,
--- a/packages/node/src/bronzepoint_node/placement/_choice.py
+++ b/packages/node/src/bronzepoint_node/placement/_choice.py
@@ -34,7 +34,7 @@
             nothing to copy.
         cached_tokens: Prompt tokens that the target does not have to read.
         tokens_before: Prompt tokens that the target reads before this prompt.
-        known_age: Maximum age in seconds of the data behind the choice.
+        staleness: Maximum age in seconds of the data behind the choice.
         quiet: As far as is known, every other request there has produced its first
             event.
     """
@@ -45,7 +45,7 @@
     fetch_from: TrackedTarget | None = None
     cached_tokens: int = 0
     tokens_before: float = 0.0
-    known_age: float = 0.0
+    staleness: float = 0.0
     quiet: bool = False
 
 
--- a/packages/node/src/bronzepoint_node/placement/_load_exchange.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_exchange.py
@@ -125,7 +125,7 @@
         """
         return [self._name] if self._collector == self._name else hosts
 
-    def known_age(self, now: float) -> float:
+    def staleness(self, now: float) -> float:
         """Return the maximum age in seconds of the data that this host relies on.
 
         Args:
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -52,7 +52,7 @@
         selector: Selects targets of this region.
         cold: Rate limit for cold targets.
         reservations: Requests granted by this host.
-        known_age: Returns the maximum age in seconds of this host's data about others.
+        staleness: Returns the maximum age in seconds of this host's data about others.
     """
 
     def __init__(
@@ -61,14 +61,14 @@
         selector: LocalTargetSelector,
         cold: ColdGate,
         reservations: Reservations,
-        known_age: Callable[[float], float],
+        staleness: Callable[[float], float],
     ) -> None:
         self._name = name
         self._numbers = itertools.count()
         self._selector = selector
         self._cold = cold
         self._reservations = reservations
-        self._known_age = known_age
+        self._staleness = staleness
         self._queues: dict[str, RequestQueue] = {}
 
     async def find(self, request: LocalPlacementRequest, wait: float) -> LocalResult:
@@ -110,7 +110,7 @@
                     round(found.tokens_before),
                     round(found.delay * 1000),
                     found.reason,
-                    round(found.known_age * 1000),
+                    round(found.staleness * 1000),
                     found.quiet,
                 )
 
@@ -165,7 +165,7 @@
         if isinstance(found, NoLocalTarget):
             return found
         claim(found)
-        return replace(found, known_age=self._known_age(now))
+        return replace(found, staleness=self._staleness(now))
 
     def _reserve(
         self,
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -156,7 +156,7 @@
         if is_silent(target, now):
             target.trial_at = now
         call.tried.add(name)
-        staleness_ms = round(placement.known_age * 1000)
+        staleness_ms = round(placement.staleness * 1000)
         call.staleness_ms.append(staleness_ms)
         self._metrics.timing("schedule.known_ms", staleness_ms)
         call.notes.append(f"{name}@{target.info.address}: {placement.reason}")
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -202,7 +202,7 @@
             lambda: region.core_names,
         )
         scheduler = Scheduler(
-            name, self.placer.home, cold, self.reservations, self.exchange.known_age
+            name, self.placer.home, cold, self.reservations, self.exchange.staleness
         )
         self.client = SchedulerClient(
             self, self.table, self.exchange, scheduler, registry, self.metrics
--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -254,11 +254,11 @@
                 host.begin("t1")
             self.network.step(REPORT_INTERVAL)
             (chooser,) = self.choosers()
-            ages.append(chooser.exchange.known_age(self.network.now))
+            ages.append(chooser.exchange.staleness(self.network.now))
         self.assertLessEqual(max(ages), MAX_CHOICE_AGE_S)
         self.assertGreater(min(ages), 0.0)
         members = [h for h in self.hosts if h is not chooser]
-        own = [h.exchange.known_age(self.network.now) for h in members]
+        own = [h.exchange.staleness(self.network.now) for h in members]
         self.assertLessEqual(max(own), NOTICE_INTERVAL + REPORT_INTERVAL)
 
     def test_unresponsive_member_makes_data_stale_until_its_reports_expire(self):
@@ -270,7 +270,7 @@
         ages = []
         for _ in range(45):
             self.network.step()
-            ages.append(chooser.exchange.known_age(self.network.now))
+            ages.append(chooser.exchange.staleness(self.network.now))
         self.assertGreater(max(ages), 2.0)
         self.assertLess(max(ages), MAX_AGE)
         self.assertLess(ages[-1], 0.2)
@@ -282,9 +282,9 @@
         member = next(h for h in self.hosts if h is not chooser)
         for _ in range(15):
             self.network.step()
-        self.assertGreater(member.exchange.known_age(self.network.now), NOTICE_INTERVAL)
+        self.assertGreater(member.exchange.staleness(self.network.now), NOTICE_INTERVAL)
         self.network.steps(10)
-        self.assertLessEqual(member.exchange.known_age(self.network.now), MAX_AGE)
+        self.assertLessEqual(member.exchange.staleness(self.network.now), MAX_AGE)
 
     def test_one_host_polls_the_engines_for_all(self):
         """Guards against engines that answer 10 polls a second, which are paid for.
--- a/tests/test_placement_many_targets.py
+++ b/tests/test_placement_many_targets.py
@@ -191,7 +191,7 @@
                 now = monotonic()
                 scheduler = region.scheduler.exchange
                 return len(scheduler._load_collector.members(now)), [
-                    host.exchange.known_age(now) for host in region.members
+                    host.exchange.staleness(now) for host in region.members
                 ]
 
         members, ages = curio.run(main)
