--- a/packages/node/src/bronzepoint_node/core/_region_scheduler.py
+++ b/packages/node/src/bronzepoint_node/core/_region_scheduler.py
@@ -10,7 +10,7 @@
 from bronzepoint_common.peers import Peers
 from bronzepoint_node.fleet import Registry, ServedCatalogue
 from bronzepoint_node.placement import (
-    ColdGate,
+    ColdStartLimiter,
     LoadExchange,
     Placer,
     Prober,
@@ -69,7 +69,7 @@
         self._listed = listed
         self._served = served
         self._table = TargetTable()
-        cold_limiter = ColdGate(name)
+        cold_limiter = ColdStartLimiter(name)
         self._placer = Placer(
             region,
             self._table,
--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -9,7 +9,7 @@
     RejectReason,
     RemotePlacement,
 )
-from ._cold_gate import ColdGate
+from ._cold_start_limiter import ColdStartLimiter
 from ._load_exchange import LoadExchange
 from ._placer import Placer
 from ._prober import (
@@ -30,7 +30,7 @@
 
 __all__ = [
     "LocalPlacement",
-    "ColdGate",
+    "ColdStartLimiter",
     "RemotePlacement",
     "EngineReport",
     "LoadExchange",
--- a/packages/node/src/bronzepoint_node/placement/_cold_gate.py
+++ b/packages/node/src/bronzepoint_node/placement/_cold_start_limiter.py
@@ -8,7 +8,7 @@
 hosts, two of them may send to the same target."""
 
 
-class ColdGate:
+class ColdStartLimiter:
     """Lets a single host of a region send to a cold target, at a limited rate.
 
     A cold target crashes when it gets more requests a second than it can handle, from
--- a/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
+++ b/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
@@ -21,7 +21,7 @@
 )
 
 from ._choice import LocalPlacement, LocalResult, NoLocalTarget
-from ._cold_gate import ColdGate
+from ._cold_start_limiter import ColdStartLimiter
 from ._fetch_source import fetch_source
 from ._local_request import LocalPlacementRequest
 from ._prompt import Prompt
@@ -60,7 +60,7 @@
         self,
         region: RegionName,
         table: TargetTable,
-        cold: ColdGate,
+        cold: ColdStartLimiter,
         speeds: ServiceEstimates,
         host_count: Callable[[], int],
         choosers: Callable[[], list[HostName]],
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -19,7 +19,7 @@
     RejectReason,
     RemotePlacement,
 )
-from ._cold_gate import ColdGate
+from ._cold_start_limiter import ColdStartLimiter
 from ._local_request import LocalPlacementRequest
 from ._local_target_selector import LOWEST_RANK, LocalTargetSelector
 from ._other_regions import OtherRegions
@@ -62,7 +62,7 @@
         region: RegionName,
         table: TargetTable,
         registry: Registry,
-        cold: ColdGate,
+        cold: ColdStartLimiter,
         rng: random.Random,
         choosers: Callable[[], list[HostName]] | None = None,
         link_bytes: float = math.inf,
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -10,7 +10,7 @@
 from bronzepoint_schema.ids import HostName
 
 from ._choice import LocalPlacement, LocalResult, NoLocalTarget
-from ._cold_gate import ColdGate
+from ._cold_start_limiter import ColdStartLimiter
 from ._engine_load import OwnRun
 from ._local_request import LocalPlacementRequest
 from ._local_target_selector import LocalTargetSelector
@@ -59,7 +59,7 @@
         self,
         name: HostName,
         selector: LocalTargetSelector,
-        cold: ColdGate,
+        cold: ColdStartLimiter,
         reservations: Reservations,
         staleness: Callable[[float], float],
     ) -> None:
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -8,7 +8,7 @@
 from bronzepoint_common.http import HttpClient
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.placement import (
-    ColdGate,
+    ColdStartLimiter,
     LocalPlacement,
     Placer,
     RemotePlacement,
@@ -81,7 +81,7 @@
         region: RegionName,
         table: TargetTable,
         placer: Placer,
-        cold: ColdGate,
+        cold: ColdStartLimiter,
         watch: CrashWatch,
         client: HttpClient,
         hosts: HttpClient,
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -18,7 +18,7 @@
     ServedService,
 )
 from bronzepoint_node.placement import (
-    ColdGate,
+    ColdStartLimiter,
     LoadExchange,
     LocalPlacement,
     Placer,
@@ -181,7 +181,7 @@
         registry.hear_entries(
             EntryHost(n, "r", "z", n, n, EntryState.ready, 0) for n in region.names
         )
-        cold = ColdGate(name)
+        cold = ColdStartLimiter(name)
         self.placer = Placer(
             "r",
             self.table,
--- a/tests/test_placement_parts.py
+++ b/tests/test_placement_parts.py
@@ -5,7 +5,12 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.placement import ColdGate, Prompt, PromptPart, RetryAllowance
+from bronzepoint_node.placement import (
+    ColdStartLimiter,
+    Prompt,
+    PromptPart,
+    RetryAllowance,
+)
 from bronzepoint_node.placement._cache_estimate import CacheEstimate
 from bronzepoint_node.placement._engine_load import EngineLoad, OwnRun
 from bronzepoint_node.placement._reading_rate import INITIAL_RATE, ReadingRate
@@ -66,23 +71,23 @@
         self.assertEqual((first, again, later), (7, 0, 7))
 
 
-class TestColdGate(unittest.TestCase):
+class TestColdStartLimiter(unittest.TestCase):
     def test_one_host_sends_and_keeps_the_rate(self):
         hosts = ["h1", "h2", "h3"]
-        gates = {host: ColdGate(host) for host in hosts}
+        limiters = {host: ColdStartLimiter(host) for host in hosts}
         sent = Counter()
         for step in range(1000):
             now = step / 100
-            for host, gate in gates.items():
-                if gate.may_send("t", 2.0, hosts, now):
-                    gate.note_sent("t", now)
+            for host, limiter in limiters.items():
+                if limiter.may_send("t", 2.0, hosts, now):
+                    limiter.note_sent("t", now)
                     sent[host] += 1
         self.assertEqual(len(sent), 1)
         self.assertLessEqual(sum(sent.values()), 15)
 
     @params(([],), (["other"],))
     def test_host_outside_the_list_sends_none(self, hosts):
-        self.assertFalse(ColdGate("h").may_send("t", 2.0, hosts, 0.0))
+        self.assertFalse(ColdStartLimiter("h").may_send("t", 2.0, hosts, 0.0))
 
 
 class TestCacheEstimate(unittest.TestCase):
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -17,7 +17,7 @@
     ServiceShare,
 )
 from bronzepoint_node.placement import (
-    ColdGate,
+    ColdStartLimiter,
     EngineReport,
     LocalPlacement,
     PlacementRequest,
@@ -72,7 +72,7 @@
             self.registry.hear_entries([host])
         self.update(targets, closed)
         self.placer = Placer(
-            "a", self.table, self.registry, ColdGate("a1"), random.Random(1)
+            "a", self.table, self.registry, ColdStartLimiter("a1"), random.Random(1)
         )
 
     def update(self, targets, closed=(), age=0.0):
