--- a/packages/node/src/bronzepoint_node/core/_region_scheduler.py
+++ b/packages/node/src/bronzepoint_node/core/_region_scheduler.py
@@ -11,9 +11,9 @@
 from bronzepoint_node.fleet import Registry, ServedCatalogue
 from bronzepoint_node.placement import (
     ColdStartLimiter,
+    EnginePoller,
     LoadExchange,
     Placer,
-    Prober,
     ReadReport,
     Reservations,
     Scheduler,
@@ -83,7 +83,7 @@
         self._exchange = LoadExchange(
             name, peers, self._table, self._placer.speeds, reservations, lambda: []
         )
-        self._prober = Prober(self._table, read, self._prober_count)
+        self._engine_poller = EnginePoller(self._table, read, self._poller_count)
         scheduler = Scheduler(
             name,
             self._placer.home,
@@ -106,17 +106,17 @@
         """Start answering entry hosts."""
         self._task = await curio.spawn(self._run, daemon=True)
         await self._exchange.start()
-        await self._prober.start()
+        await self._engine_poller.start()
 
     async def close(self) -> None:
         """Stop answering entry hosts."""
         if self._task is not None:
             await self._task.cancel()
         await self._answers.close()
-        await self._prober.close()
+        await self._engine_poller.close()
         await self._exchange.close()
 
-    def _prober_count(self) -> int:
+    def _poller_count(self) -> int:
         return 1 if self._exchange.has_members(monotonic()) else 0
 
     async def _run(self) -> None:
--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -10,15 +10,15 @@
     RemotePlacement,
 )
 from ._cold_start_limiter import ColdStartLimiter
-from ._load_exchange import LoadExchange
-from ._placer import Placer
-from ._prober import (
-    Prober,
+from ._engine_poller import (
+    EnginePoller,
     ReadReport,
     ReportOfOtherStart,
     ReportUnavailable,
     ReportUnreadable,
 )
+from ._load_exchange import LoadExchange
+from ._placer import Placer
 from ._prompt import Prompt, PromptPart
 from ._reservations import Reservations
 from ._retry_allowance import RetryAllowance
@@ -38,7 +38,7 @@
     "Placement",
     "PlacementRequest",
     "Placer",
-    "Prober",
+    "EnginePoller",
     "Prompt",
     "PromptPart",
     "ReadReport",
--- a/packages/node/src/bronzepoint_node/placement/_prober.py
+++ b/packages/node/src/bronzepoint_node/placement/_engine_poller.py
@@ -40,7 +40,7 @@
     """An engine has restarted under the same id; the message says when."""
 
 
-class Prober:
+class EnginePoller:
     """Polls each engine in a task of its own.
 
     Args:
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -18,11 +18,11 @@
 )
 from bronzepoint_node.placement import (
     ColdStartLimiter,
+    EnginePoller,
     EngineReport,
     LocalPlacement,
     PlacementRequest,
     Placer,
-    Prober,
     Prompt,
     PromptPart,
     Rejected,
@@ -319,7 +319,7 @@
     unittest.main()
 
 
-class TestProber(unittest.TestCase):
+class TestEnginePoller(unittest.TestCase):
     @params(
         (ReportUnavailable("no answer"), 1, False),
         (ReportUnreadable("running: expected int"), 0, False),
@@ -346,10 +346,10 @@
             return report
 
         async def main():
-            prober = Prober(site.table, read, lambda: 1)
-            await prober.start()
+            engine_poller = EnginePoller(site.table, read, lambda: 1)
+            await engine_poller.start()
             await again.wait()
-            await prober.close()
+            await engine_poller.close()
 
         again = curio.Event()
 
