--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -21,7 +21,7 @@
 from ._placer import Placer
 from ._prompt import Prompt, PromptPart
 from ._reservations import Reservations
-from ._retry_allowance import RetryAllowance
+from ._retry_budget import RetryBudget
 from ._scheduler import Scheduler
 from ._scheduler_client import SchedulerClient
 from ._service_estimates import ServiceEstimates
@@ -48,7 +48,7 @@
     "ReportUnavailable",
     "ReportUnreadable",
     "Reservations",
-    "RetryAllowance",
+    "RetryBudget",
     "Scheduler",
     "SchedulerClient",
     "ServiceEstimates",
--- a/packages/node/src/bronzepoint_node/placement/_retry_allowance.py
+++ b/packages/node/src/bronzepoint_node/placement/_retry_budget.py
@@ -11,7 +11,7 @@
 """Fraction of the granted slack that is divided among the hosts."""
 
 
-class RetryAllowance:
+class RetryBudget:
     """A host's share of the retries that all hosts may make at one service.
 
     Each host may retry a fraction of the requests that it received itself, and use an
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -12,7 +12,7 @@
     Placer,
     Rejected,
     RejectReason,
-    RetryAllowance,
+    RetryBudget,
     SchedulerClient,
     service_of,
 )
@@ -46,7 +46,7 @@
         gate: Checks whether a waiting request is still admitted.
         placer: Chooses between the own region and the others.
         scheduler: Finds targets of the own region.
-        allowance: Limit on the rate of retries.
+        retry_budget: Limit on the rate of retries.
         quarantine: Decides which requests are blocked, or need a trial.
         sender: Sends requests to targets and other regions.
         answers: Sends final answers.
@@ -61,7 +61,7 @@
         gate: Gate,
         placer: Placer,
         scheduler: SchedulerClient,
-        allowance: RetryAllowance,
+        retry_budget: RetryBudget,
         quarantine: Quarantine,
         sender: Sender,
         answers: FinalAnswers,
@@ -70,7 +70,7 @@
         self._gate = gate
         self._placer = placer
         self._scheduler = scheduler
-        self._allowance = allowance
+        self._retry_budget = retry_budget
         self._quarantine = quarantine
         self._sender = sender
         self._answers = answers
@@ -141,7 +141,7 @@
     async def _process(self, call: Call) -> None:
         service = service_of(call.route, call.head.request_id)
         if not call.forwarded:
-            self._allowance.note_request(service, monotonic())
+            self._retry_budget.note_request(service, monotonic())
         waited_until = monotonic() + WAIT_SHARE * call.route.objective
         while True:
             admission = await self._quarantine.admit(
@@ -182,7 +182,7 @@
         if not call.suspect and self._is_suspect(call):
             # The request became a suspect while it was queued.
             return False
-        if call.arrivals and not self._allowance.take(service, monotonic()):
+        if call.arrivals and not self._retry_budget.take(service, monotonic()):
             await self._answers.give_up(call, call.last_outcome)
             return True
         outcome = await self._sender.send(call, placement, service)
