--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -1,6 +1,6 @@
 """Placement of requests on targets and regions, from the state of one host."""
 
-from ._ask import PlacementRequest, service_of
+from ._ask import PlacementRequest, select_service
 from ._choice import (
     LocalPlacement,
     NoLocalTarget,
@@ -54,5 +54,5 @@
     "ServiceEstimates",
     "TargetTable",
     "is_silent",
-    "service_of",
+    "select_service",
 ]
--- a/packages/node/src/bronzepoint_node/placement/_ask.py
+++ b/packages/node/src/bronzepoint_node/placement/_ask.py
@@ -53,7 +53,7 @@
         return all(region in homes for homes in self.homes)
 
 
-def service_of(route: ServedRoute, request_id: str) -> str:
+def select_service(route: ServedRoute, request_id: str) -> str:
     """Return the service that serves a request, drawn by the route's weights.
 
     The draw is seeded with the request's id, so that a host of another region selects
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -9,7 +9,7 @@
 from bronzepoint_schema.generated.fleet import RegionLoad
 from bronzepoint_schema.ids import HostName, RegionName
 
-from ._ask import PlacementRequest, service_of
+from ._ask import PlacementRequest, select_service
 from ._choice import (
     LocalPlacement,
     LocalResult,
@@ -91,14 +91,14 @@
 
     def may_stay(self, request: PlacementRequest) -> bool:
         """Return whether this region may serve a request, and has targets for it."""
-        service = service_of(request.route, request.request_id)
+        service = select_service(request.route, request.request_id)
         return request.may_go_to(self._region) and self._table.has_service(service)
 
     def local_request(self, request: PlacementRequest) -> LocalPlacementRequest:
         """Return the input of the selection of a target of this region."""
         return LocalPlacementRequest(
             request_id=request.request_id,
-            service=service_of(request.route, request.request_id),
+            service=select_service(request.route, request.request_id),
             prompt=request.prompt,
             time_left=request.time_left,
             rank=request.rank,
@@ -126,7 +126,7 @@
             now: Monotonic seconds.
         """
         local = found if isinstance(found, LocalPlacement) else None
-        service = service_of(request.route, request.request_id)
+        service = select_service(request.route, request.request_id)
         if request.forwarded:
             return local or self._reject(service, found)
         request_view = self.home.request_view(self.local_request(request))
@@ -211,7 +211,7 @@
 
     def known_room(self, request: PlacementRequest, now: float) -> str:
         """Return the known free capacity for a request, for the log."""
-        service = service_of(request.route, request.request_id)
+        service = select_service(request.route, request.request_id)
         here = [
             f"{t.info.incarnation} {t.load.in_flight(now)}/{t.slots}"
             f"{' silent' if is_silent(t, now) else ''}"
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -14,7 +14,7 @@
     RejectReason,
     RetryBudget,
     SchedulerClient,
-    service_of,
+    select_service,
 )
 from bronzepoint_node.quarantine import Held, Quarantine, Standing, TrialEnd
 
@@ -139,7 +139,7 @@
         await self._answers.answer_late(call)
 
     async def _process(self, call: Call) -> None:
-        service = service_of(call.route, call.head.request_id)
+        service = select_service(call.route, call.head.request_id)
         if not call.forwarded:
             self._retry_budget.note_request(service, monotonic())
         waited_until = monotonic() + WAIT_SHARE * call.route.objective
