--- a/packages/node/src/bronzepoint_node/placement/_fetch_source.py
+++ b/packages/node/src/bronzepoint_node/placement/_fetch_source.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from ._prompt import Prompt
-from ._tracked_target import TrackedTarget, is_ejected, is_silent
+from ._tracked_target import TrackedTarget, is_ejected, is_unresponsive
 
 SETUP_TIME = 0.004
 """Fixed overhead of a copy in seconds, in addition to the transfer time."""
@@ -37,7 +37,7 @@
     kept = target.memory.cached_tokens(prompt)
     best, max_cached = None, kept
     for other in others:
-        if other is target or is_silent(other, now) or is_ejected(other):
+        if other is target or is_unresponsive(other, now) or is_ejected(other):
             continue
         found = other.memory.cached_tokens(prompt)
         if found > max_cached:
--- a/packages/node/src/bronzepoint_node/placement/_load_collector.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_collector.py
@@ -12,7 +12,7 @@
 from bronzepoint_schema.ids import HostName
 
 from ._target_table import TargetTable
-from ._tracked_target import TrackedTarget, is_silent
+from ._tracked_target import TrackedTarget, is_unresponsive
 
 MEMBER_EXPIRY = 3.0
 """Seconds without a message after which a member gets no more notices."""
@@ -100,7 +100,7 @@
     def _responsiveness_changes(self, now: float) -> list[TrackedTarget]:
         """Return the engines that have become unresponsive or responsive again."""
         engines = {t.info.incarnation: t for t in self._table.all() if t.engine}
-        unresponsive = {name for name, t in engines.items() if is_silent(t, now)}
+        unresponsive = {name for name, t in engines.items() if is_unresponsive(t, now)}
         changed_engines = [
             engines[n] for n in unresponsive ^ self._unresponsive if n in engines
         ]
--- a/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
+++ b/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
@@ -28,7 +28,7 @@
 from ._service_estimates import ServiceEstimates
 from ._target_groups import order_groups
 from ._target_table import TargetTable
-from ._tracked_target import TRIAL_INTERVAL, TrackedTarget, is_ejected, is_silent
+from ._tracked_target import TRIAL_INTERVAL, TrackedTarget, is_ejected, is_unresponsive
 
 REPORT_TIME_CONSTANT = 1.0
 """Seconds after which the weight of an engine's report has decayed to a third."""
@@ -175,7 +175,10 @@
             for tracked in targets
             if self._table.is_open(tracked)
             and (now >= tracked.cold_until or self._may_send_cold(tracked, now))
-            and (not is_silent(tracked, now) or now - tracked.trial_at > TRIAL_INTERVAL)
+            and (
+                not is_unresponsive(tracked, now)
+                or now - tracked.trial_at > TRIAL_INTERVAL
+            )
         ]
 
     def _may_send_cold(self, tracked: TrackedTarget, now: float) -> bool:
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -25,7 +25,7 @@
 from ._other_regions import OtherRegions
 from ._service_estimates import ServiceEstimates
 from ._target_table import TargetTable
-from ._tracked_target import TrackedTarget, is_ejected, is_silent
+from ._tracked_target import TrackedTarget, is_ejected, is_unresponsive
 
 MIN_REMOTE_ADVANTAGE = 0.15
 """Seconds by which another region must be faster to be preferred. Its caches do not
@@ -184,7 +184,7 @@
             for tracked in self.home.usable(service, now)
             if now >= tracked.cold_until
             and not is_ejected(tracked)
-            and not is_silent(tracked, now)
+            and not is_unresponsive(tracked, now)
         ]
 
     def _region_load(
@@ -214,7 +214,7 @@
         service = select_service(request.route, request.request_id)
         here = [
             f"{t.info.incarnation} {t.load.in_flight(now)}/{t.slots}"
-            f"{' silent' if is_silent(t, now) else ''}"
+            f"{' silent' if is_unresponsive(t, now) else ''}"
             f"{' ejected' if is_ejected(t) else ''}"
             f"{' cold' if now < t.cold_until else ''}"
             for t in self._table.of_service(service)
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -16,7 +16,7 @@
 from ._local_target_selector import LocalTargetSelector
 from ._prompt import Prompt, PromptPart
 from ._reservations import Reservations
-from ._tracked_target import is_silent
+from ._tracked_target import is_unresponsive
 from ._waiting_line import HEAD_COUNT, QueuedRequest, RequestQueue
 
 MIN_POLL_PAUSE = 0.02
@@ -178,7 +178,7 @@
         target, prompt = found.target, request.prompt
         if now < target.cold_until:
             self._cold.note_sent(target.info.incarnation, now)
-        if is_silent(target, now):
+        if is_unresponsive(target, now):
             target.trial_at = now
         if request.suspect:
             target.isolate(now)
--- a/packages/node/src/bronzepoint_node/placement/_tracked_target.py
+++ b/packages/node/src/bronzepoint_node/placement/_tracked_target.py
@@ -198,7 +198,7 @@
         report = self.report or EngineReport(0, 0, 0, 0)
         age = int((now - self.report_at) * 1000) if self.report else -1
         return EngineWord(
-            silent=is_silent(self, now),
+            silent=is_unresponsive(self, now),
             age_ms=age,
             running=report.running,
             waiting=report.waiting,
@@ -308,6 +308,6 @@
     return tracked.health.state is HealthState.ejected
 
 
-def is_silent(tracked: TrackedTarget, now: float) -> bool:
+def is_unresponsive(tracked: TrackedTarget, now: float) -> bool:
     """Return whether an engine is unresponsive, for example behind a partition."""
     return tracked.reported_unresponsive or tracked.is_unresponsive_here(now)
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -13,7 +13,7 @@
     Placer,
     RemotePlacement,
     TargetTable,
-    is_silent,
+    is_unresponsive,
 )
 from bronzepoint_node.quarantine import CrashWatch, WatchedRun
 from bronzepoint_schema.generated.decisions import TryResult
@@ -153,7 +153,7 @@
         now = monotonic()
         if now < target.cold_until:
             self._cold.note_sent(name, now)
-        if is_silent(target, now):
+        if is_unresponsive(target, now):
             target.trial_at = now
         call.tried.add(name)
         staleness_ms = round(placement.staleness * 1000)
@@ -206,7 +206,9 @@
         try:
             attempt = Try(self._client, self._codec, call, on_progress)
             outcome = await self._run_while_reachable(
-                call, attempt.run(destination), lambda: is_silent(target, monotonic())
+                call,
+                attempt.run(destination),
+                lambda: is_unresponsive(target, monotonic()),
             )
             result = _result_of(outcome)
         finally:
--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -13,7 +13,7 @@
     Reservations,
     ServiceEstimates,
     TargetTable,
-    is_silent,
+    is_unresponsive,
 )
 from bronzepoint_node.placement._collector_choice import MAX_DIRECT, CollectorSelector
 from bronzepoint_node.placement._engine_load import OwnRun
@@ -325,10 +325,10 @@
         for _ in range(2):
             poller.table.get("t1").record_failure(self.network.now)
         self.network.steps(4)
-        self.assertTrue(is_silent(poller.table.get("t1"), self.network.now))
-        self.assertEqual(is_silent(known, self.network.now), unresponsive)
+        self.assertTrue(is_unresponsive(poller.table.get("t1"), self.network.now))
+        self.assertEqual(is_unresponsive(known, self.network.now), unresponsive)
         known.record_contact(self.network.now)
-        self.assertFalse(is_silent(known, self.network.now))
+        self.assertFalse(is_unresponsive(known, self.network.now))
 
 
 class TestChoice(unittest.TestCase):
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -31,7 +31,7 @@
     ReportUnavailable,
     ReportUnreadable,
     TargetTable,
-    is_silent,
+    is_unresponsive,
 )
 from bronzepoint_node.placement._region_owner import weighted_owner
 from bronzepoint_schema.generated.decisions import TryResult
@@ -236,7 +236,7 @@
         target.record_failure(site.now - 1.0)
         target.record_failure(site.now - 0.5)
         site.table.note_result(target, TryResult.answered, 0.1, site.now)
-        self.assertFalse(is_silent(target, site.now))
+        self.assertFalse(is_unresponsive(target, site.now))
 
     def test_engine_that_reads_a_long_prompt_is_avoided(self):
         site = Site(info("t1"), info("t2"))
