--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -89,7 +89,7 @@
         """
         return [host.name for host in self.regions.entry_hosts(self._region)]
 
-    def may_stay(self, request: PlacementRequest) -> bool:
+    def may_serve_locally(self, request: PlacementRequest) -> bool:
         """Return whether this region may serve a request, and has targets for it."""
         service = select_service(request.route, request.request_id)
         return request.may_go_to(self._region) and self._table.has_service(service)
@@ -109,7 +109,7 @@
 
     def place(self, request: PlacementRequest, now: float) -> Placement:
         """Return a target of this region, a host of another one, or a refusal."""
-        if not self.may_stay(request):
+        if not self.may_serve_locally(request):
             return self.decide(request, NoLocalTarget(), now)
         return self.decide(
             request, self.home.choose(self.local_request(request), now), now
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -199,7 +199,7 @@
             request = self._placement_request(call)
             call.placement_requests += 1
             found = NoLocalTarget()
-            if self._placer.may_stay(request):
+            if self._placer.may_serve_locally(request):
                 found = await self._scheduler.find(
                     self._placer.local_request(request), wait
                 )
@@ -207,7 +207,7 @@
             wait = until - monotonic()
             if wait <= 0 or not self._may_wait(call, placement):
                 return placement
-            if not self._placer.may_stay(request):
+            if not self._placer.may_serve_locally(request):
                 await curio.sleep(min(wait, PLACEMENT_INTERVAL))
 
     def _may_wait(self, call: Call, placement: Placement) -> bool:
