--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -209,7 +209,7 @@
         is_final = isinstance(found, NoLocalTarget) and found.crowded
         return Rejected(RejectReason.NO_ROOM, wait, is_final)
 
-    def known_room(self, request: PlacementRequest, now: float) -> str:
+    def describe_capacity(self, request: PlacementRequest, now: float) -> str:
         """Return the known free capacity for a request, for the log."""
         service = select_service(request.route, request.request_id)
         here = [
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -168,7 +168,9 @@
         placement = await self._find_placement(call, until)
         if isinstance(placement, Rejected):
             call.notes.append(
-                self._placer.known_room(self._placement_request(call), monotonic())
+                self._placer.describe_capacity(
+                    self._placement_request(call), monotonic()
+                )
             )
             await self._answers.reject(call, placement)
             return True
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -140,7 +140,7 @@
         site = Site(info("t1"), closed=("a-1",))
         site.remote_loads(b=200)
         self.assertGreater(site.place().retry_after, 0)
-        known = site.placer.known_room(site.make_request(), site.now)
+        known = site.placer.describe_capacity(site.make_request(), site.now)
         for text in ("b 200/64", "closed ['a-1']"):
             self.assertIn(text, known)
 
