--- a/packages/node/src/bronzepoint_node/core/_core_hub.py
+++ b/packages/node/src/bronzepoint_node/core/_core_hub.py
@@ -86,7 +86,7 @@
         if self._task is not None:
             await self._task.cancel()
 
-    def askers(self) -> list[HostName]:
+    def syncing_hosts(self) -> list[HostName]:
         """Return the entry hosts that sync with this host."""
         return [host.name for host in self._syncing_entries()]
 
--- a/packages/node/src/bronzepoint_node/placement/_load_exchange.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_exchange.py
@@ -91,7 +91,7 @@
         if self._task is not None:
             await self._task.cancel()
 
-    def askers(self, hosts: int) -> int:
+    def poller_count(self, hosts: int) -> int:
         """Return the number of hosts that poll each engine for its load.
 
         Args:
@@ -117,7 +117,7 @@
         """Return whether other hosts report to this one."""
         return bool(self._load_collector.members(now))
 
-    def choosers(self, hosts: list[HostName]) -> list[HostName]:
+    def selecting_hosts(self, hosts: list[HostName]) -> list[HostName]:
         """Return the hosts of the region that select targets without being queried.
 
         Args:
--- a/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
+++ b/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
@@ -52,7 +52,7 @@
         cold: Rate limit for cold targets.
         speeds: Latency estimates.
         host_count: Returns the number of entry hosts of the region.
-        choosers: Returns the entry hosts that select targets themselves.
+        selecting_hosts: Returns the entry hosts that select targets themselves.
         rng: Random number generator.
     """
 
@@ -63,7 +63,7 @@
         cold: ColdStartLimiter,
         speeds: ServiceEstimates,
         host_count: Callable[[], int],
-        choosers: Callable[[], list[HostName]],
+        selecting_hosts: Callable[[], list[HostName]],
         rng: random.Random,
     ) -> None:
         self._region = region
@@ -71,7 +71,7 @@
         self._cold = cold
         self._speeds = speeds
         self._host_count = host_count
-        self._choosers = choosers
+        self._selecting_hosts = selecting_hosts
         self._rng = rng
 
     def choose(self, request: LocalPlacementRequest, now: float) -> LocalResult:
@@ -186,7 +186,7 @@
         known = self._table.service(tracked.info.service)
         rate = known.cold_rate if known else 0.0
         name = tracked.info.incarnation
-        return self._cold.may_send(name, rate, self._choosers(), now)
+        return self._cold.may_send(name, rate, self._selecting_hosts(), now)
 
     def view(
         self, tracked: TrackedTarget, prompt: Prompt | None, rank: int, now: float
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -47,8 +47,8 @@
         registry: Live hosts, and the loads of the regions.
         cold: Rate limit for cold targets.
         rng: Random number generator.
-        choosers: Returns the entry hosts of the region that select targets themselves;
-            None if all of them do.
+        selecting_hosts: Returns the entry hosts of the region that select targets
+            themselves; None if all of them do.
         link_bytes: Bandwidth of an entry host's link in bytes per second.
 
     Attributes:
@@ -64,7 +64,7 @@
         registry: Registry,
         cold: ColdStartLimiter,
         rng: random.Random,
-        choosers: Callable[[], list[HostName]] | None = None,
+        selecting_hosts: Callable[[], list[HostName]] | None = None,
         link_bytes: float = math.inf,
     ) -> None:
         self._region = region
@@ -78,7 +78,7 @@
             cold,
             self.speeds,
             lambda: self.regions.host_count(region),
-            choosers or self.hosts,
+            selecting_hosts or self.hosts,
             rng,
         )
 
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -188,7 +188,7 @@
             registry,
             cold,
             random.Random(name),
-            lambda: self.exchange.choosers(region.names),
+            lambda: self.exchange.selecting_hosts(region.names),
         )
         others = [other for other in region.names if other != name]
         self.reservations = Reservations()
--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -110,7 +110,7 @@
         self.hosts = list(self.network.hosts.values())
         self.network.steps(12)
 
-    def choosers(self):
+    def selecting_hosts(self):
         """Return the hosts that select targets for requests."""
         return [h for h in self.hosts if h.exchange.scheduler is None]
 
@@ -121,7 +121,7 @@
             host.begin("t1")
         self.hosts[0].begin("t2", tokens=40_000)
         self.network.step()
-        for host in self.choosers():
+        for host in self.selecting_hosts():
             self.assertEqual(host.in_flight("t1"), count)
         self.network.steps(NOTICE_STEPS)
         self.assertEqual([h.in_flight("t1") for h in self.hosts], [count] * count)
@@ -171,8 +171,8 @@
         for host in left:
             host.begin("t1")
         self.network.step()
-        (chooser,) = [host for host in left if host.exchange.scheduler is None]
-        self.assertEqual(chooser.in_flight("t1"), 8)
+        (selecting_host,) = [host for host in left if host.exchange.scheduler is None]
+        self.assertEqual(selecting_host.in_flight("t1"), 8)
         self.network.steps(NOTICE_STEPS)
         self.assertEqual([h.in_flight("t1") for h in left], [8] * 8)
 
@@ -192,8 +192,8 @@
         for host in self.hosts:
             host.begin("t2")
         self.network.step()
-        (chooser,) = self.choosers()
-        self.assertEqual(chooser.in_flight("t2"), 9)
+        (selecting_host,) = self.selecting_hosts()
+        self.assertEqual(selecting_host.in_flight("t2"), 9)
         self.network.steps(NOTICE_STEPS)
         self.assertEqual([h.in_flight("t2") for h in self.hosts], [9] * 9)
 
@@ -230,7 +230,7 @@
         for host in self.hosts:
             host.begin("t1")
         self.network.steps(12)
-        (former,) = self.choosers()
+        (former,) = self.selecting_hosts()
         restarted = self.network.hosts[former.name] = Member(self.network, former.name)
         restarted.exchange._selector = former.exchange._selector
         for host in self.hosts:
@@ -253,33 +253,33 @@
             for host in self.hosts:
                 host.begin("t1")
             self.network.step(REPORT_INTERVAL)
-            (chooser,) = self.choosers()
-            ages.append(chooser.exchange.staleness(self.network.now))
+            (selecting_host,) = self.selecting_hosts()
+            ages.append(selecting_host.exchange.staleness(self.network.now))
         self.assertLessEqual(max(ages), MAX_CHOICE_AGE_S)
         self.assertGreater(min(ages), 0.0)
-        members = [h for h in self.hosts if h is not chooser]
+        members = [h for h in self.hosts if h is not selecting_host]
         own = [h.exchange.staleness(self.network.now) for h in members]
         self.assertLessEqual(max(own), NOTICE_INTERVAL + REPORT_INTERVAL)
 
     def test_unresponsive_member_makes_data_stale_until_its_reports_expire(self):
         self.region(9)
-        (chooser,) = self.choosers()
+        (selecting_host,) = self.selecting_hosts()
         self.network.partitioned.add(
-            next(h.name for h in self.hosts if h is not chooser)
+            next(h.name for h in self.hosts if h is not selecting_host)
         )
         ages = []
         for _ in range(45):
             self.network.step()
-            ages.append(chooser.exchange.staleness(self.network.now))
+            ages.append(selecting_host.exchange.staleness(self.network.now))
         self.assertGreater(max(ages), 2.0)
         self.assertLess(max(ages), MAX_AGE)
         self.assertLess(ages[-1], 0.2)
 
     def test_member_without_notices_reports_its_staleness(self):
         self.region(9)
-        (chooser,) = self.choosers()
-        self.network.partitioned.add(chooser.name)
-        member = next(h for h in self.hosts if h is not chooser)
+        (selecting_host,) = self.selecting_hosts()
+        self.network.partitioned.add(selecting_host.name)
+        member = next(h for h in self.hosts if h is not selecting_host)
         for _ in range(15):
             self.network.step()
         self.assertGreater(member.exchange.staleness(self.network.now), NOTICE_INTERVAL)
@@ -293,9 +293,9 @@
         only to the host that polled.
         """
         self.region(9)
-        pollers = [h for h in self.hosts if h.exchange.askers(9)]
+        pollers = [h for h in self.hosts if h.exchange.poller_count(9)]
         self.assertEqual(len(pollers), 1)
-        self.assertEqual(pollers[0].exchange.askers(9), 1)
+        self.assertEqual(pollers[0].exchange.poller_count(9), 1)
         for host in self.hosts:
             host.begin("t1")
         self.network.step()
@@ -318,7 +318,7 @@
         precedence over the answers that members get.
         """
         self.region(9)
-        poller = next(h for h in self.hosts if h.exchange.askers(9))
+        poller = next(h for h in self.hosts if h.exchange.poller_count(9))
         member = next(h for h in self.hosts if h is not poller)
         known = member.table.get("t1")
         known.record_contact(self.network.now - contact_age)
