--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -115,7 +115,7 @@
         """Return the number of entry hosts of a region that accept requests."""
         return max(len(self.entry_hosts(region)), self._registry.size(region))
 
-    def note_lost_host(self, host: str, now: float) -> None:
+    def record_unreachable_host(self, host: str, now: float) -> None:
         """Record that a host of another region could not be reached."""
         self._unreachable_hosts[host] = now
 
@@ -131,7 +131,7 @@
         """Record a request that is forwarded to another region."""
         self._forwarded.setdefault((region, service), {})[run_id] = now
 
-    def note_returned(self, region: RegionName, service: str, run_id: str) -> None:
+    def record_returned(self, region: RegionName, service: str, run_id: str) -> None:
         """Remove a forwarded request that has been answered."""
         self._forwarded.get((region, service), {}).pop(run_id, None)
 
--- a/packages/node/src/bronzepoint_node/placement/_tracked_target.py
+++ b/packages/node/src/bronzepoint_node/placement/_tracked_target.py
@@ -215,7 +215,7 @@
         self.failed_reports = 0
         self.unresponsive_since = 0.0
 
-    def note_unreached(self, now: float) -> None:
+    def record_failed_connection(self, now: float) -> None:
         """Record a failed connection, to be reported at once.
 
         A crashed target looks idle to hosts that do not know of the crash.
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -224,7 +224,7 @@
                 target.note_replaced()
                 self._watch.note_replaced(target.info)
             case NotRun(reason="connect_failed"):
-                target.note_unreached(monotonic())
+                target.record_failed_connection(monotonic())
         if result is TryResult.answered:
             speeds.note_hold(Hold(service, round(seconds * 1000)))
         return outcome
@@ -278,10 +278,10 @@
         finally:
             # A refused request still counts as in progress there: the region is full.
             if not isinstance(outcome, NotRun):
-                regions.note_returned(placement.region, service, run_id)
+                regions.record_returned(placement.region, service, run_id)
         match outcome:
             case NotRun(reason="connect_failed"):
-                regions.note_lost_host(placement.host, monotonic())
+                regions.record_unreachable_host(placement.host, monotonic())
             case Answered(headers=answered):
                 _update_runs(call, answered)
         return outcome
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -182,7 +182,7 @@
         for number in range(10):
             regions.note_forwarded("b", "s", str(number), site.now)
             if answered:
-                regions.note_returned("b", "s", str(number))
+                regions.record_returned("b", "s", str(number))
         self.assertIsInstance(site.place(), expected)
 
 
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -127,7 +127,7 @@
 
 class TestSeenByOneHost(unittest.TestCase):
     # An unreachable target is tried periodically.
-    @params(("note_replaced", 0), ("note_unreached", 1))
+    @params(("note_replaced", 0), ("record_failed_connection", 1))
     def test_failure_seen_by_one_host_is_reported_to_the_others(self, seen, trials):
         """Guards against refusals after a crash although there is free capacity.
 
@@ -144,7 +144,7 @@
                         if seen == "note_replaced":
                             tracked.note_replaced()
                         else:
-                            tracked.note_unreached(monotonic())
+                            tracked.record_failed_connection(monotonic())
                 await curio.sleep(UNRESPONSIVE_AFTER + 3 * REPORT_INTERVAL)
                 found = [await h.send("x") for h in region.members[5:25]]
                 names = [each.target.info.incarnation for each in found]
