--- a/packages/node/src/bronzepoint_node/placement/_load_exchange.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_exchange.py
@@ -10,11 +10,11 @@
 from bronzepoint_schema.generated.target_loads import LoadNotice, NoticeKind
 from bronzepoint_schema.ids import HostName
 
-from ._collector_choice import CollectorSelector
+from ._collector_selector import CollectorSelector
 from ._load_collector import NOTICE_INTERVAL, LoadCollector
-from ._picture_age import MAX_AGE, StalenessBound
 from ._reservations import Reservations
 from ._service_estimates import ServiceEstimates
+from ._staleness_bound import MAX_AGE, StalenessBound
 from ._target_table import TargetTable
 
 _log = get_logger("targets")
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -15,9 +15,9 @@
 from ._local_request import LocalPlacementRequest
 from ._local_target_selector import LocalTargetSelector
 from ._prompt import Prompt, PromptPart
+from ._request_queue import HEAD_COUNT, QueuedRequest, RequestQueue
 from ._reservations import Reservations
 from ._tracked_target import is_unresponsive
-from ._waiting_line import HEAD_COUNT, QueuedRequest, RequestQueue
 
 MIN_POLL_PAUSE = 0.02
 """Minimum seconds between two checks of a queue for free capacity."""
--- a/tests/test_core_hosts_for.py
+++ b/tests/test_core_hosts_for.py
@@ -15,7 +15,7 @@
     count_ready_hosts,
     visible_hosts,
 )
-from bronzepoint_node.placement._collector_choice import CollectorSelector
+from bronzepoint_node.placement._collector_selector import CollectorSelector
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState
 
 
--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -15,11 +15,11 @@
     TargetTable,
     is_unresponsive,
 )
-from bronzepoint_node.placement._collector_choice import MAX_DIRECT, CollectorSelector
+from bronzepoint_node.placement._collector_selector import MAX_DIRECT, CollectorSelector
 from bronzepoint_node.placement._engine_load import OwnRun
 from bronzepoint_node.placement._load_collector import NOTICE_INTERVAL
 from bronzepoint_node.placement._load_exchange import REPORT_INTERVAL
-from bronzepoint_node.placement._picture_age import MAX_AGE
+from bronzepoint_node.placement._staleness_bound import MAX_AGE
 from bronzepoint_schema.generated.fleet import TargetInfo
 
 NOTICE_STEPS = round(NOTICE_INTERVAL / 0.1) + 2
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -15,12 +15,12 @@
 )
 from bronzepoint_node.placement._load_collector import NOTICE_INTERVAL
 from bronzepoint_node.placement._load_exchange import REPORT_INTERVAL
+from bronzepoint_node.placement._request_queue import POLL_INTERVAL
 from bronzepoint_node.placement._scheduler_client import (
     ANSWER_TIMEOUT,
     MAX_UNANSWERED,
 )
 from bronzepoint_node.placement._tracked_target import UNRESPONSIVE_AFTER
-from bronzepoint_node.placement._waiting_line import POLL_INTERVAL
 from bronzepoint_schema.generated.scheduling import TargetGrant
 from bronzepoint_schema.generated.target_loads import TargetLoad
 from tests._scheduling_region import SLOTS, Region
--- a/tests/test_relay_late_requests.py
+++ b/tests/test_relay_late_requests.py
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import RouteKind, ServedRoute
-from bronzepoint_node.placement._waiting_line import QueuedRequest, RequestQueue
+from bronzepoint_node.placement._request_queue import QueuedRequest, RequestQueue
 from bronzepoint_node.relay._call import LATE_RANKS, Call
 from bronzepoint_node.relay._usual_deadlines import UsualDeadlines
 
--- a/tests/test_relay_waiting_line.py
+++ b/tests/test_relay_request_queue.py
@@ -6,7 +6,7 @@
 from nose2.tools import params
 
 from bronzepoint_common.clock import monotonic
-from bronzepoint_node.placement._waiting_line import (
+from bronzepoint_node.placement._request_queue import (
     HEAD_COUNT,
     QueuedRequest,
     RequestQueue,
