--- a/packages/node/src/bronzepoint_node/relay/__init__.py
+++ b/packages/node/src/bronzepoint_node/relay/__init__.py
@@ -1,9 +1,9 @@
 """Relays requests unchanged from callers to targets, and the answers back."""
 
+from ._authenticator import Authenticator
 from ._codec import CallerHead, Codec, Copies, TargetVerdict
 from ._events import EventSplitter
 from ._final_answers import FinalAnswers
-from ._gate import Gate
 from ._host_headers import HOST_HEADERS
 from ._reception import Reception
 from ._relay import Relay
@@ -15,7 +15,7 @@
     "Copies",
     "EventSplitter",
     "FinalAnswers",
-    "Gate",
+    "Authenticator",
     "HOST_HEADERS",
     "Reception",
     "Relay",
--- a/packages/node/src/bronzepoint_node/relay/_gate.py
+++ b/packages/node/src/bronzepoint_node/relay/_authenticator.py
@@ -59,7 +59,7 @@
 Authentication = Authenticated | UnknownKey | UnconfirmedKey
 
 
-class Gate:
+class Authenticator:
     """Authenticates callers by API key, and forwarded requests by signature.
 
     Args:
--- a/packages/node/src/bronzepoint_node/relay/_final_answers.py
+++ b/packages/node/src/bronzepoint_node/relay/_final_answers.py
@@ -7,9 +7,9 @@
 from bronzepoint_node.fleet import Follower, shown_digest
 from bronzepoint_node.placement import Rejected, RejectReason
 
+from ._authenticator import Authentication, UnknownKey
 from ._call import Answered, Call, NotRun, TryOutcome
 from ._codec import CallerHead
-from ._gate import Authentication, UnknownKey
 from ._host_headers import BLOCKED_HEADER, RAN_HEADER
 
 DEFAULT_RETRY_AFTER = 0.3
--- a/packages/node/src/bronzepoint_node/relay/_reception.py
+++ b/packages/node/src/bronzepoint_node/relay/_reception.py
@@ -10,11 +10,11 @@
 from bronzepoint_node.quarantine import RequestNames, name_request
 from bronzepoint_node.quota import OverQuota, Quotas
 
+from ._authenticator import Authenticated, Authentication, Authenticator
 from ._call import Call
 from ._codec import CallerHead, Codec
 from ._events import EventSplitter
 from ._final_answers import FinalAnswers
-from ._gate import Authenticated, Authentication, Gate
 from ._host_headers import (
     FINGERPRINT_HEADER,
     MAX_RUNS_HEADER,
@@ -43,7 +43,7 @@
 
     Args:
         follower: Source of the current catalogue.
-        gate: Authenticates callers.
+        authenticator: Authenticates callers.
         quotas: Quotas of the organisations.
         answers: Sends final answers.
         codec: Parses request headers.
@@ -53,14 +53,14 @@
     def __init__(
         self,
         follower: Follower,
-        gate: Gate,
+        authenticator: Authenticator,
         quotas: Quotas,
         answers: FinalAnswers,
         codec: Codec,
         lag: Lag,
     ) -> None:
         self._follower = follower
-        self._gate = gate
+        self._authenticator = authenticator
         self._quotas = quotas
         self._answers = answers
         self._codec = codec
@@ -120,7 +120,7 @@
         if route is not None:
             return route
         # A newer version may have added it.
-        is_confirmed = await self._gate.wait_until_confirmed(_deadline(head))
+        is_confirmed = await self._authenticator.wait_until_confirmed(_deadline(head))
         catalogue = self._follower.catalogue
         route = catalogue.find_route(head.host, path)
         if route is None:
@@ -173,8 +173,12 @@
     ) -> Authentication:
         if forwarded:
             headers = exchange.request.headers
-            return self._gate.authenticate_forwarded(head, route, catalogue, headers)
-        return await self._gate.authenticate(head, route, catalogue, _deadline(head))
+            return self._authenticator.authenticate_forwarded(
+                head, route, catalogue, headers
+            )
+        return await self._authenticator.authenticate(
+            head, route, catalogue, _deadline(head)
+        )
 
     def _new_call(
         self,
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -18,9 +18,9 @@
 )
 from bronzepoint_node.quarantine import Held, Quarantine, Standing, TrialEnd
 
+from ._authenticator import Authenticator
 from ._call import Answered, Call, MayHaveRun, NotRun, Progress, TryOutcome
 from ._final_answers import FinalAnswers
-from ._gate import Gate
 from ._reception import Reception
 from ._sender import Sender
 
@@ -43,7 +43,7 @@
 
     Args:
         reception: Reads new requests, and refuses those that can't be served.
-        gate: Checks whether a waiting request is still admitted.
+        authenticator: Checks whether a waiting request is still admitted.
         placer: Chooses between the own region and the others.
         scheduler: Finds targets of the own region.
         retry_budget: Limit on the rate of retries.
@@ -58,7 +58,7 @@
     def __init__(
         self,
         reception: Reception,
-        gate: Gate,
+        authenticator: Authenticator,
         placer: Placer,
         scheduler: SchedulerClient,
         retry_budget: RetryBudget,
@@ -67,7 +67,7 @@
         answers: FinalAnswers,
     ) -> None:
         self._reception = reception
-        self._gate = gate
+        self._authenticator = authenticator
         self._placer = placer
         self._scheduler = scheduler
         self._retry_budget = retry_budget
@@ -175,7 +175,7 @@
             await self._answers.reject(call, placement)
             return True
         organisation = call.organisation
-        if not self._gate.still_admits(call):
+        if not self._authenticator.still_admits(call):
             await self._answers.reject(call, Rejected(RejectReason.UNAUTHENTICATED, 0))
             return True
         if call.organisation != organisation:
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -21,9 +21,9 @@
 from bronzepoint_schema.generated.target_loads import FirstToken, Hold
 from bronzepoint_schema.ids import RegionName
 
+from ._authenticator import Authenticator
 from ._call import Answered, Call, MayHaveRun, NotRun, TryOutcome
 from ._codec import Codec, Copies
-from ._gate import Gate
 from ._host_headers import (
     FINGERPRINT_HEADER,
     FORWARDED_HEADER,
@@ -72,7 +72,7 @@
         client: Connections to targets.
         hosts: Connections to entry hosts of other regions.
         codec: Builds request headers and classifies answers.
-        gate: Signs the organisation header of forwarded requests.
+        authenticator: Signs the organisation header of forwarded requests.
         metrics: Counters.
     """
 
@@ -86,7 +86,7 @@
         client: HttpClient,
         hosts: HttpClient,
         codec: Codec,
-        gate: Gate,
+        authenticator: Authenticator,
         metrics: Metrics,
     ) -> None:
         self._region = region
@@ -97,7 +97,7 @@
         self._client = client
         self._hosts = hosts
         self._codec = codec
-        self._gate = gate
+        self._authenticator = authenticator
         self._metrics = metrics
 
     async def send(
@@ -251,7 +251,7 @@
         headers = self._codec.target_headers(
             call.head, call.time_left, "", None, call.events.last_id
         )
-        headers |= self._gate.organisation_header(call)
+        headers |= self._authenticator.organisation_header(call)
         headers[FORWARDED_HEADER] = self._region
         headers[FINGERPRINT_HEADER] = str(call.fingerprints)
         if call.has_permit:
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -12,9 +12,13 @@
 from bronzepoint_node.fleet import RouteKind, ServedRoute, digest_key
 from bronzepoint_node.placement import PlacementRequest
 from bronzepoint_node.quarantine import name_request
-from bronzepoint_node.relay import CallerHead, Gate
+from bronzepoint_node.relay import Authenticator, CallerHead
+from bronzepoint_node.relay._authenticator import (
+    Authenticated,
+    UnconfirmedKey,
+    UnknownKey,
+)
 from bronzepoint_node.relay._call import LATE_RANKS, Call
-from bronzepoint_node.relay._gate import Authenticated, UnconfirmedKey, UnknownKey
 from bronzepoint_node.relay._host_headers import HOST_HEADERS, ORGANISATION_HEADER
 from bronzepoint_platform._codec import PlatformCodec
 from bronzepoint_platform._manifest import ManifestInvalid, read_manifest
@@ -61,8 +65,8 @@
         return self.age
 
 
-def authenticate(gate, *arguments):
-    return curio.run(gate.authenticate, *arguments)
+def authenticate(authenticator, *arguments):
+    return curio.run(authenticator.authenticate, *arguments)
 
 
 def call(caller_head, organisation, version, forwarded=False):
@@ -86,7 +90,7 @@
     def test_key_identifies_its_organisation(self, key, name):
         catalogue = read()
         result = authenticate(
-            Gate(Follower(catalogue), SECRET), head(key), ROUTE, catalogue, 4
+            Authenticator(Follower(catalogue), SECRET), head(key), ROUTE, catalogue, 4
         )
         if name is None:
             self.assertEqual(result, UnknownKey())
@@ -96,14 +100,14 @@
     def test_catalogue_without_organisations_requires_no_key(self):
         catalogue = read_manifest(json.dumps(manifest(1)).encode())
         result = authenticate(
-            Gate(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
+            Authenticator(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
         )
         self.assertEqual(result, Authenticated(None))
 
     def test_catalogue_with_no_organisation_left_admits_no_caller(self):
         catalogue = read(1, {})
         result = authenticate(
-            Gate(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
+            Authenticator(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
         )
         self.assertEqual(result, UnknownKey())
 
@@ -114,26 +118,31 @@
             "r", "h", "/", RouteKind.IDEMPOTENT, 4.0, 1.0, 2, (), 2, is_open=True
         )
         result = authenticate(
-            Gate(Follower(catalogue), SECRET), head(key), route, catalogue, 4
+            Authenticator(Follower(catalogue), SECRET), head(key), route, catalogue, 4
         )
         self.assertEqual(result.organisation and result.organisation.name, name)
 
     def test_lagging_host_does_not_reject_a_key_as_unknown(self):
         """Guards against 401 for a key that a newer version has added."""
         catalogue = read()
-        gate = Gate(Follower(catalogue, age=9.0), SECRET)
+        authenticator = Authenticator(Follower(catalogue, age=9.0), SECRET)
         self.assertEqual(
-            authenticate(gate, head("key-new"), ROUTE, catalogue, 0.4), UnconfirmedKey()
+            authenticate(authenticator, head("key-new"), ROUTE, catalogue, 0.4),
+            UnconfirmedKey(),
         )
 
     def test_key_of_a_version_that_arrives_meanwhile_is_known(self):
         """Guards against 401 if the newer version arrives within the wait."""
         follower = Follower(read(), age=9.0)
-        gate = Gate(follower, SECRET)
+        authenticator = Authenticator(follower, SECRET)
 
         async def main():
             task = await curio.spawn(
-                gate.authenticate, head("key-new"), ROUTE, follower.catalogue, 8.0
+                authenticator.authenticate,
+                head("key-new"),
+                ROUTE,
+                follower.catalogue,
+                8.0,
             )
             await curio.sleep(0.05)
             follower.catalogue = read(2, {"acme": ["key-new"]})
@@ -157,8 +166,8 @@
         """Guards against running a request whose key was revoked while it waited."""
         before = read()
         waiting_call = call(head("key-a1"), before.organisations["acme"], 1)
-        gate = Gate(Follower(read(2, keys)), SECRET)
-        self.assertEqual(gate.still_admits(waiting_call), admitted)
+        authenticator = Authenticator(Follower(read(2, keys)), SECRET)
+        self.assertEqual(authenticator.still_admits(waiting_call), admitted)
         result = waiting_call.organisation
         self.assertEqual(result.name if result is not None else None, name)
 
@@ -166,21 +175,21 @@
     def test_forwarded_request_is_checked_by_its_organisation(self, keys, admitted):
         before = read()
         waiting_call = call(head(), before.organisations["acme"], 1, forwarded=True)
-        gate = Gate(Follower(read(2, keys)), SECRET)
-        self.assertEqual(gate.still_admits(waiting_call), admitted)
+        authenticator = Authenticator(Follower(read(2, keys)), SECRET)
+        self.assertEqual(authenticator.still_admits(waiting_call), admitted)
 
 
 class TestForwardedRequests(unittest.TestCase):
     def signed_headers(self, version=1):
-        sender = Gate(Follower(read()), SECRET)
+        sender = Authenticator(Follower(read()), SECRET)
         return sender.organisation_header(
             call(head("key-a1"), read().organisations["acme"], version)
         )
 
     def test_signed_header_of_another_host_is_accepted(self):
         catalogue = read()
-        gate = Gate(Follower(catalogue), SECRET)
-        result = gate.authenticate_forwarded(
+        authenticator = Authenticator(Follower(catalogue), SECRET)
+        result = authenticator.authenticate_forwarded(
             head(), ROUTE, catalogue, self.signed_headers()
         )
         self.assertEqual(result.organisation.name, "acme")
@@ -188,9 +197,9 @@
     @params("acme 1 0123", "acme 1", "", "bolt 1 " + "0" * 32)
     def test_header_without_a_valid_signature_is_rejected(self, text):
         catalogue = read()
-        gate = Gate(Follower(catalogue), SECRET)
+        authenticator = Authenticator(Follower(catalogue), SECRET)
         headers = {ORGANISATION_HEADER: text}
-        result = gate.authenticate_forwarded(head(), ROUTE, catalogue, headers)
+        result = authenticator.authenticate_forwarded(head(), ROUTE, catalogue, headers)
         self.assertEqual(result, UnknownKey())
 
     @params((2, True), (1, False))
@@ -198,9 +207,9 @@
         """Guards against a host with an outdated catalogue that refuses requests which
         a host with a newer one forwards."""
         catalogue = read(1, {"bolt": ["key-b"]})
-        gate = Gate(Follower(catalogue), SECRET)
+        authenticator = Authenticator(Follower(catalogue), SECRET)
         headers = self.signed_headers(version)
-        result = gate.authenticate_forwarded(head(), ROUTE, catalogue, headers)
+        result = authenticator.authenticate_forwarded(head(), ROUTE, catalogue, headers)
         self.assertEqual(isinstance(result, Authenticated), admitted)
 
     def test_organisation_header_is_not_accepted_from_callers(self):
