--- a/packages/node/src/bronzepoint_node/relay/__init__.py
+++ b/packages/node/src/bronzepoint_node/relay/__init__.py
@@ -5,8 +5,8 @@
 from ._events import EventSplitter
 from ._final_answers import FinalAnswers
 from ._host_headers import HOST_HEADERS
-from ._reception import Reception
 from ._relay import Relay
+from ._request_intake import RequestIntake
 from ._sender import Sender
 
 __all__ = [
@@ -17,7 +17,7 @@
     "FinalAnswers",
     "Authenticator",
     "HOST_HEADERS",
-    "Reception",
+    "RequestIntake",
     "Relay",
     "Sender",
     "TargetVerdict",
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -21,7 +21,7 @@
 from ._authenticator import Authenticator
 from ._call import Answered, Call, MayHaveRun, NotRun, Progress, TryOutcome
 from ._final_answers import FinalAnswers
-from ._reception import Reception
+from ._request_intake import RequestIntake
 from ._sender import Sender
 
 WAIT_SHARE = 0.5
@@ -42,7 +42,7 @@
     """Serves requests of callers, and those that other regions forward.
 
     Args:
-        reception: Reads new requests, and refuses those that can't be served.
+        request_intake: Reads new requests, and refuses those that can't be served.
         authenticator: Checks whether a waiting request is still admitted.
         placer: Chooses between the own region and the others.
         scheduler: Finds targets of the own region.
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        reception: Reception,
+        request_intake: RequestIntake,
         authenticator: Authenticator,
         placer: Placer,
         scheduler: SchedulerClient,
@@ -66,7 +66,7 @@
         sender: Sender,
         answers: FinalAnswers,
     ) -> None:
-        self._reception = reception
+        self._request_intake = request_intake
         self._authenticator = authenticator
         self._placer = placer
         self._scheduler = scheduler
@@ -85,13 +85,13 @@
         await self._serve(exchange, forwarded=True)
 
     async def _serve(self, exchange: Exchange, forwarded: bool) -> None:
-        call = await self._reception.receive(exchange, forwarded)
+        call = await self._request_intake.receive(exchange, forwarded)
         if call is None:
             return
         try:
             await self._serve_until_disconnect(call)
         finally:
-            self._reception.refund(call)
+            self._request_intake.refund(call)
 
     async def _serve_until_disconnect(self, call: Call) -> None:
         """Process a request until it is answered or its caller disconnects.
--- a/packages/node/src/bronzepoint_node/relay/_reception.py
+++ b/packages/node/src/bronzepoint_node/relay/_request_intake.py
@@ -38,7 +38,7 @@
 objective: a request needs several iterations of the loop until its first answer."""
 
 
-class Reception:
+class RequestIntake:
     """Reads new requests, and refuses those that can't be served.
 
     Args:
