--- a/packages/node/src/bronzepoint_node/relay/__init__.py
+++ b/packages/node/src/bronzepoint_node/relay/__init__.py
@@ -1,9 +1,9 @@
 """Relays requests unchanged from callers to targets, and the answers back."""
 
+from ._answer_writer import AnswerWriter
 from ._authenticator import Authenticator
 from ._codec import CallerHead, Codec, Copies, TargetVerdict
 from ._events import EventSplitter
-from ._final_answers import FinalAnswers
 from ._host_headers import HOST_HEADERS
 from ._relay import Relay
 from ._request_intake import RequestIntake
@@ -14,7 +14,7 @@
     "Codec",
     "Copies",
     "EventSplitter",
-    "FinalAnswers",
+    "AnswerWriter",
     "Authenticator",
     "HOST_HEADERS",
     "RequestIntake",
--- a/packages/node/src/bronzepoint_node/relay/_final_answers.py
+++ b/packages/node/src/bronzepoint_node/relay/_answer_writer.py
@@ -21,7 +21,7 @@
 _log = get_logger("relay")
 
 
-class FinalAnswers:
+class AnswerWriter:
     """Sends final answers; a refusal guarantees that the request did not run.
 
     Args:
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -18,9 +18,9 @@
 )
 from bronzepoint_node.quarantine import Held, Quarantine, Standing, TrialEnd
 
+from ._answer_writer import AnswerWriter
 from ._authenticator import Authenticator
 from ._call import Answered, Call, MayHaveRun, NotRun, Progress, TryOutcome
-from ._final_answers import FinalAnswers
 from ._request_intake import RequestIntake
 from ._sender import Sender
 
@@ -49,7 +49,7 @@
         retry_budget: Limit on the rate of retries.
         quarantine: Decides which requests are blocked, or need a trial.
         sender: Sends requests to targets and other regions.
-        answers: Sends final answers.
+        answer_writer: Sends final answers.
 
     Attributes:
         in_progress: Number of requests in progress.
@@ -64,7 +64,7 @@
         retry_budget: RetryBudget,
         quarantine: Quarantine,
         sender: Sender,
-        answers: FinalAnswers,
+        answer_writer: AnswerWriter,
     ) -> None:
         self._request_intake = request_intake
         self._authenticator = authenticator
@@ -73,7 +73,7 @@
         self._retry_budget = retry_budget
         self._quarantine = quarantine
         self._sender = sender
-        self._answers = answers
+        self._answer_writer = answer_writer
         self.in_progress = 0
 
     async def serve(self, exchange: Exchange) -> None:
@@ -111,7 +111,7 @@
             return
         match work.exception:
             case None | curio.TaskCancelled() | Disconnected():
-                self._answers.log_outcome(call, "caller_left")
+                self._answer_writer.log_outcome(call, "caller_left")
                 raise Disconnected("the caller closed its connection")
             case exc:
                 _log.error(
@@ -136,7 +136,7 @@
             raise work.exception
         if not limit.expired or call.exchange.ended or call.exchange.aborted:
             return
-        await self._answers.answer_late(call)
+        await self._answer_writer.answer_late(call)
 
     async def _process(self, call: Call) -> None:
         service = select_service(call.route, call.head.request_id)
@@ -148,7 +148,7 @@
                 call.fingerprints, waited_until, call.has_permit
             )
             if isinstance(admission, Held):
-                await self._answers.refuse_blocked(call, admission.retry_after)
+                await self._answer_writer.refuse_blocked(call, admission.retry_after)
                 return
             call.suspect = admission.suspect
             call.has_permit = admission.by_permit
@@ -172,11 +172,13 @@
                     self._placement_request(call), monotonic()
                 )
             )
-            await self._answers.reject(call, placement)
+            await self._answer_writer.reject(call, placement)
             return True
         organisation = call.organisation
         if not self._authenticator.still_admits(call):
-            await self._answers.reject(call, Rejected(RejectReason.UNAUTHENTICATED, 0))
+            await self._answer_writer.reject(
+                call, Rejected(RejectReason.UNAUTHENTICATED, 0)
+            )
             return True
         if call.organisation != organisation:
             # The new organisation may be restricted to other regions.
@@ -185,7 +187,7 @@
             # The request became a suspect while it was queued.
             return False
         if call.arrivals and not self._retry_budget.take(service, monotonic()):
-            await self._answers.give_up(call, call.last_outcome)
+            await self._answer_writer.give_up(call, call.last_outcome)
             return True
         outcome = await self._sender.send(call, placement, service)
         call.last_outcome = outcome
@@ -238,7 +240,7 @@
         """Answer the caller if the outcome is final; False: try again."""
         match outcome:
             case Answered(streamed=True):
-                self._answers.log_outcome(call, "answered")
+                self._answer_writer.log_outcome(call, "answered")
                 return True
             case Answered() if call.exchange.started:
                 # The caller has received a part of a stream, so that only its
@@ -248,11 +250,11 @@
             case Answered(status=status, headers=headers, body=body):
                 if status >= 500 and call.may_repeat:
                     return False
-                self._answers.log_outcome(call, f"answered_{status}")
+                self._answer_writer.log_outcome(call, f"answered_{status}")
                 await call.exchange.respond(status, call.answer_headers(headers), body)
                 return True
             case NotRun(reason="held", retry_after=retry_after):
-                await self._answers.refuse_blocked(call, retry_after)
+                await self._answer_writer.refuse_blocked(call, retry_after)
                 return True
             case NotRun():
                 if call.sends < MAX_SENDS:
@@ -260,7 +262,7 @@
             case MayHaveRun():
                 if call.may_repeat:
                     return False
-        await self._answers.give_up(call, outcome)
+        await self._answer_writer.give_up(call, outcome)
         return True
 
 
--- a/packages/node/src/bronzepoint_node/relay/_request_intake.py
+++ b/packages/node/src/bronzepoint_node/relay/_request_intake.py
@@ -10,11 +10,11 @@
 from bronzepoint_node.quarantine import RequestNames, name_request
 from bronzepoint_node.quota import OverQuota, Quotas
 
+from ._answer_writer import AnswerWriter
 from ._authenticator import Authenticated, Authentication, Authenticator
 from ._call import Call
 from ._codec import CallerHead, Codec
 from ._events import EventSplitter
-from ._final_answers import FinalAnswers
 from ._host_headers import (
     FINGERPRINT_HEADER,
     MAX_RUNS_HEADER,
@@ -45,7 +45,7 @@
         follower: Source of the current catalogue.
         authenticator: Authenticates callers.
         quotas: Quotas of the organisations.
-        answers: Sends final answers.
+        answer_writer: Sends final answers.
         codec: Parses request headers.
         lag: Measured lag of this host's event loop.
     """
@@ -55,14 +55,14 @@
         follower: Follower,
         authenticator: Authenticator,
         quotas: Quotas,
-        answers: FinalAnswers,
+        answer_writer: AnswerWriter,
         codec: Codec,
         lag: Lag,
     ) -> None:
         self._follower = follower
         self._authenticator = authenticator
         self._quotas = quotas
-        self._answers = answers
+        self._answer_writer = answer_writer
         self._codec = codec
         self._lag = lag
         self._leaving = False
@@ -86,20 +86,22 @@
             await exchange.respond(400, {}, f"{exc}\n".encode())
             return None
         if await self._wait_for_catalogue(head) is None:
-            await self._answers.refuse(exchange, head, RejectReason.NO_CATALOGUE, 0.5)
+            await self._answer_writer.refuse(
+                exchange, head, RejectReason.NO_CATALOGUE, 0.5
+            )
             return None
         route = await self._find_route(exchange, head)
         if route is None:
             return None
         if self._lag.seconds > LAG_SHARE * route.objective:
-            await self._answers.shed(exchange, head)
+            await self._answer_writer.shed(exchange, head)
             return None
         catalogue = self._follower.catalogue
         authentication = await self._authenticate(
             exchange, head, route, catalogue, forwarded
         )
         if not isinstance(authentication, Authenticated):
-            await self._answers.refuse_unauthenticated(
+            await self._answer_writer.refuse_unauthenticated(
                 exchange, head, authentication, catalogue.version
             )
             return None
@@ -107,7 +109,7 @@
         call = self._new_call(exchange, head, route, body, received_at, forwarded)
         call.organisation, call.version = authentication.organisation, catalogue.version
         if self._leaving:
-            await self._answers.refuse(exchange, head, RejectReason.LEAVING, 0.1)
+            await self._answer_writer.refuse(exchange, head, RejectReason.LEAVING, 0.1)
             return None
         return call if await self._charge(call) else None
 
@@ -125,7 +127,7 @@
         route = catalogue.find_route(head.host, path)
         if route is None:
             await exchange.body()
-            await self._answers.answer_no_route(
+            await self._answer_writer.answer_no_route(
                 exchange, head, catalogue.version, is_confirmed
             )
         return route
@@ -144,7 +146,9 @@
             call.notes.append(charge.note)
             reason = RejectReason.OVER_QUOTA
             wait = charge.retry_after
-            await self._answers.refuse(call.exchange, call.head, reason, wait, call)
+            await self._answer_writer.refuse(
+                call.exchange, call.head, reason, wait, call
+            )
             return False
         call.charge = charge
         return True
--- a/tests/test_relay_deadline.py
+++ b/tests/test_relay_deadline.py
@@ -9,9 +9,9 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.fleet import RouteKind, ServedRoute
 from bronzepoint_node.placement import Rejected, RejectReason
+from bronzepoint_node.relay._answer_writer import AnswerWriter
 from bronzepoint_node.relay._call import Call
 from bronzepoint_node.relay._codec import CallerHead
-from bronzepoint_node.relay._final_answers import FinalAnswers
 from bronzepoint_node.relay._host_headers import RAN_HEADER
 from bronzepoint_node.relay._sender import Sender
 
@@ -54,7 +54,7 @@
         have run.
         """
         call = late_call(written, runs, sends)
-        curio.run(FinalAnswers(FakeFollower(), Metrics()).answer_late, call)
+        curio.run(AnswerWriter(FakeFollower(), Metrics()).answer_late, call)
         found, headers = call.exchange.answer
         self.assertEqual(found, status)
         self.assertEqual("Retry-After" in headers, status == 503)
@@ -74,7 +74,7 @@
         call = late_call(False, reported + since, 0)
         call.forwarded, call.reported_runs = True, reported
         rejected = Rejected(RejectReason.NO_ROOM, 0.5)
-        curio.run(FinalAnswers(FakeFollower(), Metrics()).reject, call, rejected)
+        curio.run(AnswerWriter(FakeFollower(), Metrics()).reject, call, rejected)
         found, headers = call.exchange.answer
         self.assertEqual(found, status)
         self.assertEqual(headers.get(RAN_HEADER) == "no", guaranteed)
@@ -88,8 +88,8 @@
         self, reason, status, has_retry_after
     ):
         call = late_call(False, 0, 0)
-        answers = FinalAnswers(FakeFollower(), Metrics())
-        curio.run(answers.refuse, call.exchange, call.head, reason, 0.5)
+        answer_writer = AnswerWriter(FakeFollower(), Metrics())
+        curio.run(answer_writer.refuse, call.exchange, call.head, reason, 0.5)
         found, headers = call.exchange.answer
         self.assertEqual((found, "Retry-After" in headers), (status, has_retry_after))
 
--- a/tests/test_relay_request_intake.py
+++ b/tests/test_relay_request_intake.py
@@ -9,7 +9,7 @@
 from bronzepoint_common.http import Request
 from bronzepoint_common.lag import Lag
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.relay import Authenticator, FinalAnswers, RequestIntake
+from bronzepoint_node.relay import AnswerWriter, Authenticator, RequestIntake
 from bronzepoint_platform._codec import PlatformCodec
 from bronzepoint_platform._manifest import read_manifest
 from tests._platform_site import manifest
@@ -70,11 +70,11 @@
 
     async def main():
         authenticator = Authenticator(follower, b"secret")
-        answers = FinalAnswers(follower, Metrics())
+        answer_writer = AnswerWriter(follower, Metrics())
         loop_lag = Lag()
         loop_lag.seconds = lag
         request_intake = RequestIntake(
-            follower, authenticator, Quotas(), answers, PlatformCodec(), loop_lag
+            follower, authenticator, Quotas(), answer_writer, PlatformCodec(), loop_lag
         )
         exchange = Exchange(path)
         task = await curio.spawn(request_intake.receive, exchange, False)
