--- a/packages/node/src/bronzepoint_node/relay/_codec.py
+++ b/packages/node/src/bronzepoint_node/relay/_codec.py
@@ -93,7 +93,7 @@
             organisation: Organisation of the caller; None: omitted.
         """
 
-    def judge(
+    def classify_answer(
         self, head: CallerHead, status: int, headers: dict[str, str]
     ) -> TargetVerdict:
         """Classify an answer by its status and headers."""
--- a/packages/node/src/bronzepoint_node/relay/_try.py
+++ b/packages/node/src/bronzepoint_node/relay/_try.py
@@ -107,7 +107,7 @@
         self._call.record_written()
 
     def _is_own_answer(self, status: int, headers: dict[str, str]) -> bool:
-        verdict = self._codec.judge(self._call.head, status, headers)
+        verdict = self._codec.classify_answer(self._call.head, status, headers)
         return verdict is not TargetVerdict.OTHER_REQUEST
 
     async def _relay_answer(self, answer: ClientAnswer) -> TryOutcome:
@@ -116,7 +116,7 @@
             return NotRun("held", retry_after=_retry_after(answer.headers))
         if answer.headers.get(RAN_HEADER) == "no":
             return NotRun("region_refused", retry_after=_retry_after(answer.headers))
-        match self._codec.judge(call.head, answer.status, answer.headers):
+        match self._codec.classify_answer(call.head, answer.status, answer.headers):
             case TargetVerdict.REPLACED:
                 return NotRun("replaced", by_target=True)
             case TargetVerdict.NOT_RUN:
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -70,7 +70,7 @@
         (400, {"x-bronzepoint-not-executed": "1"}, TargetVerdict.NOT_RUN),
     )
     def test_answer_is_classified_by_status_and_headers(self, status, headers, verdict):
-        self.assertEqual(CODEC.judge(head(), status, headers), verdict)
+        self.assertEqual(CODEC.classify_answer(head(), status, headers), verdict)
 
 
 class TestManifest(unittest.TestCase):
