--- a/packages/node/src/bronzepoint_node/relay/__init__.py
+++ b/packages/node/src/bronzepoint_node/relay/__init__.py
@@ -2,7 +2,7 @@
 
 from ._answer_writer import AnswerWriter
 from ._authenticator import Authenticator
-from ._codec import CallerHead, Codec, Copies, TargetVerdict
+from ._codec import CallerHead, Codec, CopyInstructions, TargetVerdict
 from ._events import EventSplitter
 from ._host_headers import HOST_HEADERS
 from ._relay import Relay
@@ -12,7 +12,7 @@
 __all__ = [
     "CallerHead",
     "Codec",
-    "Copies",
+    "CopyInstructions",
     "EventSplitter",
     "AnswerWriter",
     "Authenticator",
--- a/packages/node/src/bronzepoint_node/relay/_codec.py
+++ b/packages/node/src/bronzepoint_node/relay/_codec.py
@@ -50,7 +50,7 @@
     OTHER_REQUEST = "other_request"
 
 
-class Copies(Struct, frozen=True):
+class CopyInstructions(Struct, frozen=True):
     """Instructions to a target to copy cached prompt data for one request.
 
     Attributes:
@@ -77,7 +77,7 @@
         incarnation: str,
         priority: int | None,
         last_event: str | None,
-        copies: Copies | None = None,
+        copy_instructions: CopyInstructions | None = None,
         organisation: OrganisationName | None = None,
     ) -> dict[str, str]:
         """Return the headers of a request to a target.
@@ -89,7 +89,7 @@
                 empty: any.
             priority: Rank in the target's queue; None: omitted.
             last_event: Id of the event after which the stream resumes.
-            copies: Data for the target to copy; None: nothing.
+            copy_instructions: Data for the target to copy; None: nothing.
             organisation: Organisation of the caller; None: omitted.
         """
 
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -23,7 +23,7 @@
 
 from ._authenticator import Authenticator
 from ._call import Answered, Call, MayHaveRun, NotRun, TryOutcome
-from ._codec import Codec, Copies
+from ._codec import Codec, CopyInstructions
 from ._host_headers import (
     FINGERPRINT_HEADER,
     FORWARDED_HEADER,
@@ -191,7 +191,7 @@
             name,
             rank,
             call.events.last_id,
-            Copies(fetch_from=source.info.address if source else ""),
+            CopyInstructions(fetch_from=source.info.address if source else ""),
             call.organisation.name if call.organisation is not None else None,
         )
         destination = Destination(
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -12,7 +12,7 @@
 from bronzepoint_common.http import BadRequest, Request
 from bronzepoint_node.fleet import RouteKind
 from bronzepoint_node.placement import PromptPart
-from bronzepoint_node.relay import Copies, TargetVerdict
+from bronzepoint_node.relay import CopyInstructions, TargetVerdict
 from bronzepoint_platform._codec import PlatformCodec
 from bronzepoint_platform._manifest import ManifestInvalid, read_manifest
 from bronzepoint_platform._settings import SettingsUnreadable, read_settings
@@ -128,11 +128,11 @@
 class TestCopies(unittest.TestCase):
     @params(
         (None, {}),
-        (Copies(), {}),
-        (Copies(fetch_from="10.0.0.2:80"), {"kv-fetch": "10.0.0.2:80"}),
+        (CopyInstructions(), {}),
+        (CopyInstructions(fetch_from="10.0.0.2:80"), {"kv-fetch": "10.0.0.2:80"}),
     )
-    def test_copy_headers_are_set_by_the_system_only(self, copies, expected):
+    def test_copy_headers_are_set_by_the_system_only(self, copy_instructions, expected):
         caller = head(kv_fetch="10.9.9.9:1", kv_from="10.9.9.9:1/x")
-        headers = CODEC.target_headers(caller, 1.0, "i-1", 0, None, copies)
+        headers = CODEC.target_headers(caller, 1.0, "i-1", 0, None, copy_instructions)
         found = {k: v for k, v in headers.items() if k.startswith("kv-")}
         self.assertEqual(found, expected)
