--- a/packages/node/src/bronzepoint_node/relay/_request_intake.py
+++ b/packages/node/src/bronzepoint_node/relay/_request_intake.py
@@ -68,7 +68,7 @@
         self._leaving = False
         self._usual = UsualDeadlines()
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuse all new requests from now on, as this host is shutting down."""
         self._leaving = True
 
