--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -11,11 +11,11 @@
     Registry,
 )
 from bronzepoint_node.policy import (
-    RegionTerms,
+    RegionEstimate,
     RegionView,
     RequestView,
-    away_terms,
     draw_region,
+    remote_estimate,
 )
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState, RegionLoad
 from bronzepoint_schema.ids import RegionName
@@ -78,7 +78,7 @@
         service: str,
         request_view: RequestView,
         now: float,
-    ) -> list[RegionTerms]:
+    ) -> list[RegionEstimate]:
         """Return the expected cost of each other region with a recent load report."""
         return self._region_estimates(request, service, request_view, LOAD_EXPIRY, now)
 
@@ -87,7 +87,7 @@
         request: PlacementRequest,
         service: str,
         request_view: RequestView,
-        fresh_estimates: list[RegionTerms],
+        fresh_estimates: list[RegionEstimate],
         now: float,
     ) -> RemotePlacement | None:
         """Return the best other region for a request; None if there is none."""
@@ -139,7 +139,7 @@
         self,
         request: PlacementRequest,
         service: str,
-        estimates: list[RegionTerms],
+        estimates: list[RegionEstimate],
         missing: int,
         own_slots: int,
     ) -> RemotePlacement | None:
@@ -175,7 +175,7 @@
 
     def _remote_placement(
         self,
-        estimate: RegionTerms,
+        estimate: RegionEstimate,
         request: PlacementRequest,
         detail: str,
         delay: float,
@@ -203,7 +203,7 @@
         request_view: RequestView,
         expiry: float,
         now: float,
-    ) -> list[RegionTerms]:
+    ) -> list[RegionEstimate]:
         estimates = []
         for load in self._registry.loads(expiry):
             if load.service != service or load.region == self._region:
@@ -226,7 +226,9 @@
             if load.in_progress + sent >= load.slots * FULL_LOAD_FACTOR:
                 continue
             times = self._speeds.times(service)
-            estimates.append(away_terms(view, request_view, times, sent, CACHED_SHARE))
+            estimates.append(
+                remote_estimate(view, request_view, times, sent, CACHED_SHARE)
+            )
         return estimates
 
     def _transfer_time(self, request: PlacementRequest) -> float:
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from bronzepoint_node.fleet import Registry
-from bronzepoint_node.policy import RegionTerms
+from bronzepoint_node.policy import RegionEstimate
 from bronzepoint_schema.generated.fleet import RegionLoad
 from bronzepoint_schema.ids import HostName, RegionName
 
@@ -146,7 +146,7 @@
         request: PlacementRequest,
         service: str,
         local: LocalPlacement,
-        estimates: list[RegionTerms],
+        estimates: list[RegionEstimate],
         now: float,
     ) -> RemotePlacement | None:
         """Return the region that caches parts of the prompt missing in this one.
--- a/packages/node/src/bronzepoint_node/policy/__init__.py
+++ b/packages/node/src/bronzepoint_node/policy/__init__.py
@@ -2,10 +2,10 @@
 
 from bronzepoint_node.policy._admission import Admission
 from bronzepoint_node.policy._choose_region import (
-    RegionTerms,
-    away_terms,
+    RegionEstimate,
     choose_region,
     draw_region,
+    remote_estimate,
 )
 from bronzepoint_node.policy._choose_target import choose_target
 from bronzepoint_node.policy._inputs import (
@@ -36,7 +36,7 @@
     "Policy",
     "Refused",
     "RegionHosts",
-    "RegionTerms",
+    "RegionEstimate",
     "RegionView",
     "RequestView",
     "RetryBudget",
@@ -46,7 +46,7 @@
     "TargetView",
     "Ticket",
     "TokenBucket",
-    "away_terms",
+    "remote_estimate",
     "choose_region",
     "choose_target",
     "draw_region",
--- a/packages/node/src/bronzepoint_node/policy/_choose_region.py
+++ b/packages/node/src/bronzepoint_node/policy/_choose_region.py
@@ -18,7 +18,7 @@
 while the forwarded share falls."""
 
 
-class RegionTerms(Struct):
+class RegionEstimate(Struct):
     """Expected delay and cost of serving a request in one region.
 
     Attributes:
@@ -50,13 +50,13 @@
         )
 
 
-def away_terms(
+def remote_estimate(
     view: RegionView,
     request: RequestView,
     times: ServiceTimes,
     sent_since: float,
     warm_share: float,
-) -> RegionTerms:
+) -> RegionEstimate:
     """Return the estimate for another region.
 
     Summaries are late, so the requests forwarded since are added: this host's own as
@@ -68,7 +68,7 @@
     wait = max(view.expected_wait, excess_load * times.hold / max(1, view.slots))
     delay = view.trip + wait + times.first_token(uncached)
     cost = view.cost * times.hold
-    return RegionTerms(view, delay, cost, sent_since, warm_share)
+    return RegionEstimate(view, delay, cost, sent_since, warm_share)
 
 
 def residency_allows(request: RequestView, region: RegionName) -> bool:
@@ -95,8 +95,8 @@
 
 
 def draw_region(
-    estimates: list[RegionTerms], request: RequestView, rng: Random
-) -> RegionTerms:
+    estimates: list[RegionEstimate], request: RequestView, rng: Random
+) -> RegionEstimate:
     """Draw one of the regions that are nearly as good as the best.
 
     The draw is weighted by free slots: hosts that see the same summaries spread their
@@ -114,8 +114,8 @@
 def choose_region(
     request: RequestView,
     time_left: float,
-    local: RegionTerms | None,
-    remote: list[RegionTerms],
+    local: RegionEstimate | None,
+    remote: list[RegionEstimate],
     ramp: ForwardRamp,
     hysteresis: float,
     rng: Random,
@@ -171,10 +171,10 @@
 
 def _make_choice(
     request: RequestView,
-    chosen: RegionTerms,
+    chosen: RegionEstimate,
     reason: str,
-    local: RegionTerms | None,
-    remote: list[RegionTerms],
+    local: RegionEstimate | None,
+    remote: list[RegionEstimate],
 ) -> RegionChoice:
     candidates = []
     for item in [*([local] if local else []), *remote]:
@@ -186,8 +186,8 @@
 
 
 __all__ = [
-    "RegionTerms",
-    "away_terms",
+    "RegionEstimate",
+    "remote_estimate",
     "choose_region",
     "draw_region",
     "region_exclusion",
--- a/packages/node/src/bronzepoint_node/policy/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/policy/_other_regions.py
@@ -5,9 +5,9 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.policy._backoff import RegionBackoff
 from bronzepoint_node.policy._choose_region import (
-    RegionTerms,
-    away_terms,
+    RegionEstimate,
     region_exclusion,
+    remote_estimate,
 )
 from bronzepoint_node.policy._inputs import RegionView, RequestView
 from bronzepoint_node.policy._recent_forwards import RecentForwards
@@ -48,7 +48,7 @@
         times: ServiceTimes,
         hosts: int,
         now: float,
-    ) -> tuple[list[RegionTerms], list[Candidate]]:
+    ) -> tuple[list[RegionEstimate], list[Candidate]]:
         """Return estimates for the regions that may serve a request, and the others.
 
         Args:
@@ -62,7 +62,7 @@
         Returns:
             Estimates for the allowed regions, and the excluded ones as candidates.
         """
-        estimates: list[RegionTerms] = []
+        estimates: list[RegionEstimate] = []
         excluded_regions: list[Candidate] = []
         for view in views:
             if view.name == self._own_region:
@@ -83,7 +83,9 @@
                 request.entry, view.name, now - view.age
             )
             warm = self._warm.warm_share(view.name, request.prefix_hashes, now)
-            estimates.append(away_terms(view, request, times, forwards * hosts, warm))
+            estimates.append(
+                remote_estimate(view, request, times, forwards * hosts, warm)
+            )
         return estimates, excluded_regions
 
     def record_sent(self, entry: EntryName, region: RegionName, now: float) -> None:
--- a/packages/node/src/bronzepoint_node/policy/_policy.py
+++ b/packages/node/src/bronzepoint_node/policy/_policy.py
@@ -10,7 +10,7 @@
 from bronzepoint_node.policy._admission import Admission
 from bronzepoint_node.policy._baselines import Baseline
 from bronzepoint_node.policy._choose_region import (
-    RegionTerms,
+    RegionEstimate,
     choose_region,
     residency_allows,
 )
@@ -317,7 +317,7 @@
         choice: TargetChoice,
         regions: list[RegionView],
         views: list[TargetView],
-    ) -> RegionTerms | None:
+    ) -> RegionEstimate | None:
         request = ticket.request
         if choice.usable == 0 or not residency_allows(request, self._region):
             return None
@@ -329,11 +329,11 @@
         )
         if choice.target is not None and ahead < 1:
             cost = choice.target.cost * estimates.times.hold
-            return RegionTerms(view, choice.expected, cost)
+            return RegionEstimate(view, choice.expected, cost)
         delay = (ahead + 1) * estimates.start_interval(len(self._hosts().live))
         delay += estimates.times.first_token(request.prompt_tokens)
         cost = min(target.cost for target in views) * estimates.times.hold
-        return RegionTerms(view, delay, cost)
+        return RegionEstimate(view, delay, cost)
 
     def _record_placement(self, ticket: Ticket, placed: Placement) -> None:
         request = ticket.request
--- a/tests/test_policy_regions.py
+++ b/tests/test_policy_regions.py
@@ -10,10 +10,10 @@
 from bronzepoint_node.policy import RegionView, choose_region
 from bronzepoint_node.policy._backoff import RegionBackoff
 from bronzepoint_node.policy._choose_region import (
-    RegionTerms,
-    away_terms,
+    RegionEstimate,
     draw_region,
     region_exclusion,
+    remote_estimate,
 )
 from bronzepoint_node.policy._ramp import ForwardRamp
 from bronzepoint_node.policy._recent_forwards import RecentForwards
@@ -25,7 +25,7 @@
 
 
 def estimate(name, delay, cost=0.0, slots=8):
-    return RegionTerms(RegionView(name, slots=slots), delay, cost)
+    return RegionEstimate(RegionView(name, slots=slots), delay, cost)
 
 
 def decide(local, remote, step=1000.0, seed=1, now=1.0, **fields):
@@ -93,16 +93,16 @@
         times = ServiceTimes(base=0.1, per_token=0.001)
         view = RegionView("sgp", slots=8, trip=0.06)
         req = request(prompt_tokens=1000)
-        cold = away_terms(view, req, times, 0, 0.0)
-        warm = away_terms(view, req, times, 0, 1.0)
+        cold = remote_estimate(view, req, times, 0, 0.0)
+        warm = remote_estimate(view, req, times, 0, 1.0)
         self.assertAlmostEqual(cold.delay, 0.06 + 0.1 + 1.0)
         self.assertAlmostEqual(warm.delay, 0.06 + 0.1)
 
     def test_forwards_since_the_summary_add_load(self):
         times = ServiceTimes(hold=1.0)
         view = RegionView("sgp", slots=8)
-        idle = away_terms(view, request(), times, 0, 0.0)
-        full = away_terms(view, request(), times, 40, 0.0)
+        idle = remote_estimate(view, request(), times, 0, 0.0)
+        full = remote_estimate(view, request(), times, 40, 0.0)
         self.assertGreater(full.delay, idle.delay + 3)
 
     def test_spreads_over_equal_regions_by_free_slots(self):
@@ -240,13 +240,13 @@
 
     def start_request(self, home, other, host):
         excess_load = max(0, self.running[home] + 1 - self.SLOTS)
-        local = RegionTerms(
+        local = RegionEstimate(
             RegionView(home, slots=self.SLOTS), 0.05 + excess_load / self.SLOTS, 1.0
         )
         since = 3 * self.sent[home, host].count_since("chat", other, self.now - 1.0)
         busy = self.history[0][other]
         view = RegionView(other, slots=self.SLOTS, in_progress=busy, trip=0.06)
-        there = away_terms(view, request(), self.times, since, 1.0)
+        there = remote_estimate(view, request(), self.times, since, 1.0)
         ramp = self.ramps[home, host]
         chosen = choose_region(
             request(), 30.0, local, [there], ramp, 0.05, self.rng, self.now
