--- a/packages/node/src/bronzepoint_node/policy/_local_limit.py
+++ b/packages/node/src/bronzepoint_node/policy/_local_limit.py
@@ -70,7 +70,7 @@
             return RefusalKind.rate_limited
         if limits.tokens > 0 and not self.tokens.take(tokens, now):
             if limits.rate > 0:
-                self.requests.give_back(1, now)
+                self.requests.refund(1, now)
             return RefusalKind.tokens_limited
         self.in_use += 1
         return None
@@ -78,13 +78,13 @@
     def undo_take(self, tokens: float, now: float) -> None:
         """Undo the charge of a request that another limit refused."""
         self.in_use -= 1
-        self.requests.give_back(1, now)
-        self.tokens.give_back(tokens, now)
+        self.requests.refund(1, now)
+        self.tokens.refund(tokens, now)
 
     def end_request(self, unused_tokens: float, now: float) -> None:
         """Count the end of a request, and correct its token estimate."""
         self.in_use -= 1
-        self.tokens.give_back(unused_tokens, now)
+        self.tokens.refund(unused_tokens, now)
 
     def apply_quota(
         self, quota: Quota, until: float, granted: bool, now: float
--- a/packages/node/src/bronzepoint_node/policy/_token_bucket.py
+++ b/packages/node/src/bronzepoint_node/policy/_token_bucket.py
@@ -40,7 +40,7 @@
         self.level -= amount
         return True
 
-    def give_back(self, amount: float, now: float) -> None:
+    def refund(self, amount: float, now: float) -> None:
         """Correct an estimate: add unused units, or take those used in excess."""
         self._refill(now)
         floor = -_MAX_DEBT_SECONDS * max(self.rate, 1.0)
