--- a/packages/node/src/bronzepoint_node/entry/_collaborators.py
+++ b/packages/node/src/bronzepoint_node/entry/_collaborators.py
@@ -127,7 +127,7 @@
     ) -> Placement:
         """Choose the target or region that serves the request."""
 
-    async def try_ended(
+    async def record_try(
         self,
         ticket: Ticket,
         placement: LocalPlacement | RemotePlacement,
--- a/packages/node/src/bronzepoint_node/entry/_local_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_local_tries.py
@@ -73,7 +73,7 @@
             request.trace.end_try(current_try, result, detail)
             first = outcome.first_byte if isinstance(outcome, Answered) else None
             self._dependencies.targets.finish(name, result, first or 0.0)
-            await self._dependencies.policy.try_ended(ticket, placement, result, first)
+            await self._dependencies.policy.record_try(ticket, placement, result, first)
         return outcome
 
     async def _send(
--- a/packages/node/src/bronzepoint_node/entry/_remote_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_remote_tries.py
@@ -48,7 +48,7 @@
         finally:
             result = result_of(outcome)
             first = outcome.first_byte if isinstance(outcome, Answered) else None
-            await self._dependencies.policy.try_ended(ticket, placement, result, first)
+            await self._dependencies.policy.record_try(ticket, placement, result, first)
         return outcome
 
     async def _forward(
--- a/packages/node/src/bronzepoint_node/policy/_policy.py
+++ b/packages/node/src/bronzepoint_node/policy/_policy.py
@@ -149,7 +149,7 @@
         placed.notes = [*ticket.notes, *placed.notes]
         return placed
 
-    async def try_ended(
+    async def record_try(
         self,
         ticket: Ticket,
         placed: LocalPlacement | RemotePlacement,
@@ -218,7 +218,7 @@
             tokens: Number of generated tokens.
         """
         self._limits.release(ticket.limits, tokens)
-        # For a request cancelled during a try, `try_ended` isn't called.
+        # For a request cancelled during a try, `record_try` isn't called.
         await self._release_slot(ticket)
 
     async def _release_slot(self, ticket: Ticket) -> None:
--- a/tests/_entry_site.py
+++ b/tests/_entry_site.py
@@ -235,7 +235,7 @@
                 return RemotePlacement(name, [], reason, max_wait=self.max_wait)
         return Refused(RefusalKind.no_target, "No target.", "Come back.", 2.0)
 
-    async def try_ended(self, ticket, placement, result, first_token) -> None:
+    async def record_try(self, ticket, placement, result, first_token) -> None:
         return
 
     def may_retry(self, ticket, reason, region=None) -> bool:
--- a/tests/test_policy_whole.py
+++ b/tests/test_policy_whole.py
@@ -52,7 +52,7 @@
 
     async def finish(self, ticket, placed, result=TryResult.answered):
         placed.target.in_flight -= 1
-        await self.policy.try_ended(ticket, placed, result, 0.1)
+        await self.policy.record_try(ticket, placed, result, 0.1)
         await self.policy.leave(ticket, True, 10)
 
 
@@ -148,7 +148,7 @@
 
         async def main():
             ticket, placed = await harness.place(request(idempotent=idempotent))
-            await harness.policy.try_ended(ticket, placed, TryResult.timeout, None)
+            await harness.policy.record_try(ticket, placed, TryResult.timeout, None)
             may_retry_it = harness.policy.may_retry(
                 ticket, RetryReason.target_error, "sgp"
             )
@@ -167,7 +167,7 @@
 
         async def main():
             ticket, placed = await harness.place(request())
-            await harness.policy.try_ended(
+            await harness.policy.record_try(
                 ticket, placed, TryResult.refused_by_target, None
             )
             may_retry_it = harness.policy.may_retry(
