--- a/packages/node/src/bronzepoint_node/_daemon.py
+++ b/packages/node/src/bronzepoint_node/_daemon.py
@@ -19,7 +19,7 @@
 from bronzepoint_node.catalogue import Catalogue
 from bronzepoint_node.decisions import Decisions
 from bronzepoint_node.directory import Directory
-from bronzepoint_node.entry import Collaborators, Gateway
+from bronzepoint_node.entry import Dependencies, Gateway
 from bronzepoint_node.membership import Membership
 from bronzepoint_node.orders import Orders
 from bronzepoint_node.policy import Policy, RegionHosts
@@ -181,8 +181,8 @@
         await component.start()
         self._started.append(component)
 
-    def _dependencies(self) -> Collaborators:
-        return Collaborators(
+    def _dependencies(self) -> Dependencies:
+        return Dependencies(
             catalogue=self._catalogue.view,
             membership=self._membership,
             directory=Directory(
--- a/packages/node/src/bronzepoint_node/entry/_admin_endpoints.py
+++ b/packages/node/src/bronzepoint_node/entry/_admin_endpoints.py
@@ -14,7 +14,7 @@
 )
 from bronzepoint_node.catalogue import item_kind
 from bronzepoint_node.entry._authentication import require_operator
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._identity import Identity
 from bronzepoint_node.entry._info_endpoints import (
     JSON_HEADERS,
@@ -51,7 +51,7 @@
         dependencies: The other components of the daemon.
     """
 
-    def __init__(self, identity: Identity, dependencies: Collaborators) -> None:
+    def __init__(self, identity: Identity, dependencies: Dependencies) -> None:
         self._identity = identity
         self._dependencies = dependencies
 
--- a/packages/node/src/bronzepoint_node/entry/_call_handler.py
+++ b/packages/node/src/bronzepoint_node/entry/_call_handler.py
@@ -7,7 +7,7 @@
 from bronzepoint_common.http import Disconnected
 from bronzepoint_node.entry._call_reader import CallReader, IncomingCall
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._dispatch import Dispatcher
 from bronzepoint_node.entry._dispatch_refusals import (
     RETRY_REGION,
@@ -49,7 +49,7 @@
     def __init__(
         self,
         identity: Identity,
-        dependencies: Collaborators,
+        dependencies: Dependencies,
         recorder: DecisionRecorder,
     ) -> None:
         self._identity = identity
--- a/packages/node/src/bronzepoint_node/entry/_call_reader.py
+++ b/packages/node/src/bronzepoint_node/entry/_call_reader.py
@@ -6,7 +6,7 @@
 from bronzepoint_common.tokens import Caller, Tokens
 from bronzepoint_node.entry._authentication import require_caller
 from bronzepoint_node.entry._call import Call, call_of, check_route
-from bronzepoint_node.entry._collaborators import CatalogueLike
+from bronzepoint_node.entry._dependencies import CatalogueLike
 from bronzepoint_node.entry._dispatch_refusals import residency_refused
 from bronzepoint_node.entry._forward_context import FORWARD_HEADER, ForwardContext
 from bronzepoint_node.entry._identity import Identity
--- a/packages/node/src/bronzepoint_node/entry/_catalogue_check.py
+++ b/packages/node/src/bronzepoint_node/entry/_catalogue_check.py
@@ -1,7 +1,7 @@
 """Checks of a request against the current catalogue, right before it is sent."""
 
 from bronzepoint_node.entry._call import check_route
-from bronzepoint_node.entry._collaborators import CatalogueLike
+from bronzepoint_node.entry._dependencies import CatalogueLike
 from bronzepoint_node.entry._dispatch_refusals import residency_refused
 from bronzepoint_node.entry._refusals import refused
 from bronzepoint_node.entry._residency import allows
--- a/packages/node/src/bronzepoint_node/entry/_collaborators.py
+++ b/packages/node/src/bronzepoint_node/entry/_dependencies.py
@@ -199,7 +199,7 @@
         """Return the status of the orders for operators."""
 
 
-class Collaborators(Struct, frozen=True):
+class Dependencies(Struct, frozen=True):
     """All components that the request path uses.
 
     Attributes:
--- a/packages/node/src/bronzepoint_node/entry/_dispatch.py
+++ b/packages/node/src/bronzepoint_node/entry/_dispatch.py
@@ -1,7 +1,7 @@
 """Dispatch of admitted requests: placement, tries and retries."""
 
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._dispatch_refusals import (
     deadline_refused,
     refused_after_failure,
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        dependencies: Collaborators,
+        dependencies: Dependencies,
         check: CatalogueCheck,
         local_tries: LocalTries,
         remote_tries: RemoteTries,
--- a/packages/node/src/bronzepoint_node/entry/_dispatch_permit.py
+++ b/packages/node/src/bronzepoint_node/entry/_dispatch_permit.py
@@ -3,7 +3,7 @@
 import math
 
 from bronzepoint_common.clock import monotonic
-from bronzepoint_node.entry._collaborators import RunOnceLike
+from bronzepoint_node.entry._dependencies import RunOnceLike
 from bronzepoint_node.entry._refusals import RequestRefused, refused
 from bronzepoint_node.run_once import ClaimToken
 from bronzepoint_schema.generated.decisions import RefusalKind
--- a/packages/node/src/bronzepoint_node/entry/_forwarding.py
+++ b/packages/node/src/bronzepoint_node/entry/_forwarding.py
@@ -6,7 +6,7 @@
 
 from bronzepoint_node.entry._answer_headers import REQUEST_ID_HEADER, gateway_headers
 from bronzepoint_node.entry._call import CHAT_PATH
-from bronzepoint_node.entry._collaborators import DecisionsLike, MembershipLike
+from bronzepoint_node.entry._dependencies import DecisionsLike, MembershipLike
 from bronzepoint_node.entry._forward_context import (
     FORWARD_HEADER,
     ForwardContext,
--- a/packages/node/src/bronzepoint_node/entry/_gateway.py
+++ b/packages/node/src/bronzepoint_node/entry/_gateway.py
@@ -9,7 +9,7 @@
 from bronzepoint_node.entry._answer_headers import gateway_headers
 from bronzepoint_node.entry._call_handler import CallHandler
 from bronzepoint_node.entry._call_reader import IncomingCall
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._forward_context import context_of
 from bronzepoint_node.entry._http_errors import refusal_of_http_error
 from bronzepoint_node.entry._identity import Identity
@@ -61,7 +61,7 @@
             connection is closed after its response; ``closed``: calls are refused.
     """
 
-    def __init__(self, settings: Settings, dependencies: Collaborators) -> None:
+    def __init__(self, settings: Settings, dependencies: Dependencies) -> None:
         host = settings.host
         self._identity = Identity(
             host.name,
--- a/packages/node/src/bronzepoint_node/entry/_info_endpoints.py
+++ b/packages/node/src/bronzepoint_node/entry/_info_endpoints.py
@@ -11,7 +11,7 @@
     WhyError,
 )
 from bronzepoint_node.entry._authentication import require_anyone
-from bronzepoint_node.entry._collaborators import CatalogueLike, Collaborators
+from bronzepoint_node.entry._dependencies import CatalogueLike, Dependencies
 from bronzepoint_node.entry._identity import Identity
 from bronzepoint_node.entry._refusals import RequestRefused, refused
 from bronzepoint_node.entry._route import HealthRoute, HostsRoute, WhyRoute
@@ -30,7 +30,7 @@
         dependencies: The other components of the daemon.
     """
 
-    def __init__(self, identity: Identity, dependencies: Collaborators) -> None:
+    def __init__(self, identity: Identity, dependencies: Dependencies) -> None:
         self._identity = identity
         self._dependencies = dependencies
 
--- a/packages/node/src/bronzepoint_node/entry/_local_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_local_tries.py
@@ -5,7 +5,7 @@
 from bronzepoint_node.entry._answer_headers import ECHO_HEADER, gateway_headers
 from bronzepoint_node.entry._call import PRIORITIES
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._dispatch_permit import permit_dispatch
 from bronzepoint_node.entry._identity import Identity
 from bronzepoint_node.entry._outcomes import Answered, Failed, Outcome, result_of
@@ -33,7 +33,7 @@
     def __init__(
         self,
         identity: Identity,
-        dependencies: Collaborators,
+        dependencies: Dependencies,
         check: CatalogueCheck,
         upstream: Upstream,
         recorder: DecisionRecorder,
--- a/packages/node/src/bronzepoint_node/entry/_records.py
+++ b/packages/node/src/bronzepoint_node/entry/_records.py
@@ -1,6 +1,6 @@
 """Storage of decision records before their responses are complete."""
 
-from bronzepoint_node.entry._collaborators import DecisionsLike
+from bronzepoint_node.entry._dependencies import DecisionsLike
 from bronzepoint_node.entry._trace import RequestTrace
 
 
--- a/packages/node/src/bronzepoint_node/entry/_remote_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_remote_tries.py
@@ -1,7 +1,7 @@
 """Tries of a request in other regions."""
 
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._dispatch_permit import permit_dispatch
 from bronzepoint_node.entry._forwarding import Forwarding
 from bronzepoint_node.entry._outcomes import Answered, Failed, Outcome, result_of
@@ -21,7 +21,7 @@
     """
 
     def __init__(
-        self, dependencies: Collaborators, check: CatalogueCheck, forwarding: Forwarding
+        self, dependencies: Dependencies, check: CatalogueCheck, forwarding: Forwarding
     ) -> None:
         self._dependencies = dependencies
         self._check = check
--- a/packages/node/src/bronzepoint_node/entry/_run_once_calls.py
+++ b/packages/node/src/bronzepoint_node/entry/_run_once_calls.py
@@ -3,7 +3,7 @@
 from typing import NoReturn
 
 from bronzepoint_node.entry._answer_headers import REPLAYED_HEADER, gateway_headers
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._dispatch import Dispatcher
 from bronzepoint_node.entry._identity import Identity
 from bronzepoint_node.entry._outcomes import Answered
@@ -40,7 +40,7 @@
     """
 
     def __init__(
-        self, identity: Identity, dependencies: Collaborators, dispatcher: Dispatcher
+        self, identity: Identity, dependencies: Dependencies, dispatcher: Dispatcher
     ) -> None:
         self._identity = identity
         self._dependencies = dependencies
--- a/tests/_entry_site.py
+++ b/tests/_entry_site.py
@@ -17,7 +17,7 @@
 )
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.tokens import Tokens
-from bronzepoint_node.entry import Collaborators, Gateway
+from bronzepoint_node.entry import Dependencies, Gateway
 from bronzepoint_node.membership import HostInfo, HostState, RegionSummary
 from bronzepoint_node.policy import (
     LocalPlacement,
@@ -374,7 +374,7 @@
         policy, run_once = FakePolicy(region), FakeRunOnce()
         targets = FakeTargets(region, catalogue)
         decisions = FakeDecisions(name, region)
-        parts = Collaborators(
+        parts = Dependencies(
             catalogue,
             FakeMembership(self),
             FakeDirectory(),
