--- a/packages/node/src/bronzepoint_node/entry/_gateway.py
+++ b/packages/node/src/bronzepoint_node/entry/_gateway.py
@@ -41,7 +41,7 @@
 _log = get_logger("entry")
 
 
-class EntryState(StrEnum):
+class GatewayState(StrEnum):
     """State of this host with respect to new calls; see `Gateway.state`."""
 
     live = "live"
@@ -74,7 +74,7 @@
         self._call_handler = CallHandler(self._identity, dependencies, self._recorder)
         self._info_endpoints = InfoEndpoints(self._identity, dependencies)
         self._admin_endpoints = AdminEndpoints(self._identity, dependencies)
-        self.state = EntryState.live
+        self.state = GatewayState.live
 
     @property
     def in_progress(self) -> int:
@@ -87,19 +87,19 @@
 
     def drain(self) -> None:
         """Continue to serve calls, but close each connection after its response."""
-        if self.state is EntryState.live:
-            self.state = EntryState.draining
+        if self.state is GatewayState.live:
+            self.state = GatewayState.draining
 
     def refuse_calls(self) -> None:
         """Refuse new calls; calls in progress are completed.
 
         Called at the end of a drain, when the directory no longer lists this host.
         """
-        self.state = EntryState.closed
+        self.state = GatewayState.closed
 
     async def handle(self, exchange: Exchange) -> None:
         """Handle one HTTP request."""
-        if self.state is not EntryState.live:
+        if self.state is not GatewayState.live:
             exchange.say_last()
         try:
             route = route_of(exchange.request)
@@ -136,7 +136,7 @@
             request_id = context.request_id
         trace = RequestTrace(request_id, self._identity.host, self._identity.region)
         try:
-            if self.state is EntryState.closed:
+            if self.state is GatewayState.closed:
                 raise _closed_refusal()
             await self._call_handler.serve(
                 IncomingCall(exchange, route, context, trace)
