--- a/packages/node/src/bronzepoint_node/entry/_dependencies.py
+++ b/packages/node/src/bronzepoint_node/entry/_dependencies.py
@@ -106,7 +106,7 @@
     def finish(self, name: TargetName, result: TryResult, seconds: float) -> None:
         """Remove a request from those in progress; its result may eject the target."""
 
-    def note_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
+    def record_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
         """Update a target's state from the headers of its response."""
 
     def statuses(self) -> list[TargetStatus]:
--- a/packages/node/src/bronzepoint_node/entry/_local_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_local_tries.py
@@ -104,7 +104,7 @@
             request.entry,
             request.call.idempotent,
             lambda reason: self._dependencies.policy.may_retry(ticket, reason),
-            lambda headers: self._dependencies.targets.note_answer(name, headers),
+            lambda headers: self._dependencies.targets.record_answer(name, headers),
         )
 
         async def before_last_byte(status: int) -> None:
--- a/packages/node/src/bronzepoint_node/targets/_targets.py
+++ b/packages/node/src/bronzepoint_node/targets/_targets.py
@@ -158,7 +158,7 @@
         tracked.health.note(result, seconds)
         self._eject_failing(name)
 
-    def note_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
+    def record_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
         """Record the notice of a target in the headers of any of its answers."""
         tracked = self._tracked.get(name)
         if tracked is None:
--- a/tests/test_targets_leaving.py
+++ b/tests/test_targets_leaving.py
@@ -170,7 +170,7 @@
     def test_by_header_seen_by_one_host_while_lists_lag(self) -> None:
         async def scenario(hosts: Hosts) -> None:
             hosts.http.listed["s0"] = ListedState.live
-            hosts.targets["bkk-1"].note_answer("s0", {"x-leaving": "1"})
+            hosts.targets["bkk-1"].record_answer("s0", {"x-leaving": "1"})
             await hosts.wait_for_state(TargetState.leaving, "s0", "s")
             for _ in range(5):
                 await curio.sleep(0.05)
