--- a/packages/node/src/bronzepoint_node/targets/_ejection.py
+++ b/packages/node/src/bronzepoint_node/targets/_ejection.py
@@ -32,7 +32,7 @@
 class HealthState(StrEnum):
     """Whether a target is used fully, with limited load, or not at all."""
 
-    well = "well"
+    healthy = "well"
     ejected = "ejected"
     returning = "returning"
 
@@ -51,7 +51,7 @@
         successes: answers since `allowed` grew.
     """
 
-    state: HealthState = HealthState.well
+    state: HealthState = HealthState.healthy
     failures: int = 0
     seconds: float = 0.0
     samples: int = 0
@@ -95,10 +95,10 @@
     def settle(self, now: float, slots: int) -> None:
         """End the return once all slots are allowed; reset old ejections."""
         if self.state is HealthState.returning and self.allowed >= slots:
-            self.state = HealthState.well
+            self.state = HealthState.healthy
             self.changed_at = now
         if (
-            self.state is HealthState.well
+            self.state is HealthState.healthy
             and now - self.changed_at > _RESET_EJECTIONS_SECONDS
         ):
             self.ejections = 0
--- a/tests/test_targets_health.py
+++ b/tests/test_targets_health.py
@@ -103,7 +103,7 @@
             allowed.append(first.allowed)
         self.assertEqual(allowed, [1, 2, 2, 4, 4, 4, 4, 8])
         first.settle(later, slots=8)
-        self.assertIs(first.state, HealthState.well)
+        self.assertIs(first.state, HealthState.healthy)
 
     def test_failure_while_returning_ejects_for_longer(self) -> None:
         health = self.siblings[0]
