--- a/packages/node/src/bronzepoint_node/core/_quarantine_keeper.py
+++ b/packages/node/src/bronzepoint_node/core/_quarantine_keeper.py
@@ -15,8 +15,8 @@
     MIN_CRASHES_SUSPECT,
     RETENTION,
     CrashTable,
-    Standing,
     SuspectRecord,
+    SuspicionLevel,
     is_any_caller,
 )
 from bronzepoint_schema.generated.admin import QuarantinedCrash, QuarantinedRequest
@@ -91,7 +91,7 @@
         ]
 
     def _describe(
-        self, record: SuspectRecord, standing: Standing, now: float
+        self, record: SuspectRecord, standing: SuspicionLevel, now: float
     ) -> QuarantinedRequest:
         return QuarantinedRequest(
             fingerprint=record.fingerprint,
--- a/packages/node/src/bronzepoint_node/quarantine/__init__.py
+++ b/packages/node/src/bronzepoint_node/quarantine/__init__.py
@@ -5,7 +5,7 @@
 from ._crash_watch import Crash, CrashWatch, WatchedRun
 from ._fingerprint import RequestNames, is_any_caller, name_request
 from ._quarantine import Admitted, Held, Quarantine, TrialEnd
-from ._standing import MIN_CRASHES_SUSPECT, Standing
+from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel
 
 __all__ = [
     "RETENTION",
@@ -19,7 +19,7 @@
     "CrashRecord",
     "Quarantine",
     "RequestNames",
-    "Standing",
+    "SuspicionLevel",
     "TrialEnd",
     "WatchedRun",
     "is_any_caller",
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
@@ -9,7 +9,7 @@
 
 from ._case import RETENTION, CrashRecord, SuspectRecord
 from ._fingerprint import RequestNames
-from ._standing import MIN_CRASHES_SUSPECT, Standing, suspicion_levels
+from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel, suspicion_levels
 
 MAX_RECORDS = 512
 """Maximum number of requests kept, about 1 MB. The ones with the most crashes stay."""
@@ -44,7 +44,7 @@
     ) -> None:
         self._on_change = on_change
         self._records: dict[Fingerprint, SuspectRecord] = {}
-        self._standings: dict[Fingerprint, Standing] = {}
+        self._standings: dict[Fingerprint, SuspicionLevel] = {}
 
     def __len__(self) -> int:
         return len(self._records)
@@ -60,19 +60,19 @@
             if len(record.crash_records) >= min_crashes
         ]
 
-    def standing(self, fingerprint: Fingerprint) -> Standing:
+    def standing(self, fingerprint: Fingerprint) -> SuspicionLevel:
         """Return the standing of one fingerprint."""
-        return self._standings.get(fingerprint, Standing.CLEAR)
+        return self._standings.get(fingerprint, SuspicionLevel.CLEAR)
 
-    def standing_of(self, fingerprints: RequestNames) -> Standing:
+    def standing_of(self, fingerprints: RequestNames) -> SuspicionLevel:
         """Return the standing of a request: the stricter one of its fingerprints."""
         if not self._standings:
-            return Standing.CLEAR
+            return SuspicionLevel.CLEAR
         return max(
             self.standing(fingerprints.exact), self.standing(fingerprints.content)
         )
 
-    def count(self, standing: Standing) -> int:
+    def count(self, standing: SuspicionLevel) -> int:
         """Return how many requests have this standing, which must not be CLEAR."""
         return sum(found is standing for found in self._standings.values())
 
@@ -210,7 +210,7 @@
         """Return blocked and doubtful records, followed by those recently changed."""
 
         def is_strict(record: SuspectRecord) -> bool:
-            return self.standing(record.fingerprint) >= Standing.DOUBTFUL
+            return self.standing(record.fingerprint) >= SuspicionLevel.DOUBTFUL
 
         first = [
             c for c in records if is_strict(c) or now - c.changed_at < PRIORITY_PERIOD
@@ -260,14 +260,14 @@
             and (record := self._records.get(fingerprint)) is not None
         ]
         for record in affected:
-            before = former.get(record.fingerprint, Standing.CLEAR)
+            before = former.get(record.fingerprint, SuspicionLevel.CLEAR)
             self._log_standing(record, before)
         if affected and self._on_change is not None:
             self._on_change(affected)
 
-    def _log_standing(self, record: SuspectRecord, before: Standing) -> None:
+    def _log_standing(self, record: SuspectRecord, before: SuspicionLevel) -> None:
         standing = self.standing(record.fingerprint)
-        if max(standing, before) < Standing.DOUBTFUL:
+        if max(standing, before) < SuspicionLevel.DOUBTFUL:
             # One crash makes dozens of requests suspects, and most are soon cleared.
             return
         crash_records = record.active_crash_records
@@ -280,7 +280,7 @@
             "alone": sum(crash_record.alone for crash_record in crash_records.values()),
             "targets": sorted(crash_records),
         }
-        if standing is Standing.HELD:
+        if standing is SuspicionLevel.HELD:
             _log.warning("request held back", **fields)
         else:
             _log.info("standing of a request", **fields)
--- a/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
@@ -24,7 +24,7 @@
 from ._crash_table import CrashTable
 from ._crash_watch import Crash
 from ._fingerprint import RequestNames
-from ._standing import Standing
+from ._standing import SuspicionLevel
 
 MAX_CASES_PER_NOTICE = 24
 """Maximum number of records in one notice, about 2 KB. The others are sent with the
@@ -172,7 +172,7 @@
         if len(crashed_together) > MAX_INDEPENDENT_CRASHES:
             self._report(self._table.clear_outage(crashed_together, now))
 
-    def standing(self, names: RequestNames) -> Standing:
+    def standing(self, names: RequestNames) -> SuspicionLevel:
         """Return the current standing of a request."""
         return self._table.standing_of(names)
 
@@ -193,11 +193,11 @@
                 return Held(RETRY_AFTER)
             await curio.sleep(TRIAL_POLL_INTERVAL)
         match self.standing(names):
-            case Standing.CLEAR:
+            case SuspicionLevel.CLEAR:
                 return Admitted()
-            case Standing.HELD:
+            case SuspicionLevel.HELD:
                 return Held(self._table.blocked_for(names.exact, monotonic()))
-            case Standing.SUSPECT:
+            case SuspicionLevel.SUSPECT:
                 self._trials.add(names.content)
                 return Admitted(suspect=True)
         self._trials.add(names.content)
@@ -214,7 +214,7 @@
         return admission
 
     def _is_on_trial(self, names: RequestNames) -> bool:
-        return self.standing(names) in (Standing.SUSPECT, Standing.DOUBTFUL)
+        return self.standing(names) in (SuspicionLevel.SUSPECT, SuspicionLevel.DOUBTFUL)
 
     def end_trial(self, names: RequestNames, end: TrialEnd = TrialEnd.USED) -> None:
         """End a trial, so that the next copy of the request may be tried.
--- a/packages/node/src/bronzepoint_node/quarantine/_standing.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_standing.py
@@ -22,7 +22,7 @@
 higher since a stream that had been running each time is most likely unrelated."""
 
 
-class Standing(IntEnum):
+class SuspicionLevel(IntEnum):
     """Treatment of a request, in order of strictness.
 
     CLEAR: no restrictions. SUSPECT: runs on trial, apart from other suspects and on a
@@ -39,7 +39,9 @@
 CrashRecords = dict[str, CrashRecord]
 
 
-def suspicion_levels(records: Iterable[SuspectRecord]) -> dict[Fingerprint, Standing]:
+def suspicion_levels(
+    records: Iterable[SuspectRecord],
+) -> dict[Fingerprint, SuspicionLevel]:
     """Return the standing of each request that isn't clear.
 
     A crash has one cause but affects every request that ran on the target. A frequent
@@ -75,10 +77,10 @@
         standing = _classify(counted, proven)
         if is_any_caller(fingerprint):
             # The content may be harmless from another caller, so it is never blocked.
-            standing = min(standing, Standing.DOUBTFUL)
-        elif standing is Standing.HELD:
+            standing = min(standing, SuspicionLevel.DOUBTFUL)
+        elif standing is SuspicionLevel.HELD:
             attributed.update(active_crash_records[fingerprint])
-        if standing is not Standing.CLEAR:
+        if standing is not SuspicionLevel.CLEAR:
             standings[fingerprint] = standing
     return standings
 
@@ -115,12 +117,14 @@
     return bool(proven) and _count_early(crash_records) >= MIN_CRASHES_BLOCKED
 
 
-def _classify(crash_records: CrashRecords, proven: set[str]) -> Standing:
+def _classify(crash_records: CrashRecords, proven: set[str]) -> SuspicionLevel:
     early = _count_early(crash_records)
     if _is_proven_cause(crash_records, proven) or early >= MIN_CRASHES_BLOCKED_UNPROVEN:
-        return Standing.HELD
+        return SuspicionLevel.HELD
     if len(crash_records) >= MIN_CRASHES_BLOCKED_LATE:
-        return Standing.HELD
+        return SuspicionLevel.HELD
     if early >= MIN_CRASHES_BLOCKED:
-        return Standing.DOUBTFUL
-    return Standing.SUSPECT if early >= MIN_CRASHES_SUSPECT else Standing.CLEAR
+        return SuspicionLevel.DOUBTFUL
+    return (
+        SuspicionLevel.SUSPECT if early >= MIN_CRASHES_SUSPECT else SuspicionLevel.CLEAR
+    )
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -16,7 +16,7 @@
     SchedulerClient,
     select_service,
 )
-from bronzepoint_node.quarantine import Held, Quarantine, Standing, TrialEnd
+from bronzepoint_node.quarantine import Held, Quarantine, SuspicionLevel, TrialEnd
 
 from ._answer_writer import AnswerWriter
 from ._authenticator import Authenticator
@@ -194,7 +194,7 @@
         return await self._finish(call, outcome)
 
     def _is_suspect(self, call: Call) -> bool:
-        return self._quarantine.standing(call.fingerprints) is not Standing.CLEAR
+        return self._quarantine.standing(call.fingerprints) is not SuspicionLevel.CLEAR
 
     async def _find_placement(self, call: Call, until: float) -> Placement:
         """Return a placement, or a rejection if none is found by ``until``."""
--- a/tests/test_quarantine_admission.py
+++ b/tests/test_quarantine_admission.py
@@ -21,7 +21,7 @@
     Held,
     Quarantine,
     RequestNames,
-    Standing,
+    SuspicionLevel,
     TrialEnd,
     WatchedRun,
 )
@@ -159,9 +159,9 @@
         for name in ("t1", "t2"):
             quarantine.note_crash(Crash(target(name), monotonic(), [failed_run("q")]))
         self.assertEqual([peer for peer, _ in links.posted], ["c1", "c2", "c3"] * 2)
-        self.assertIs(table.standing("q"), Standing.SUSPECT)
+        self.assertIs(table.standing("q"), SuspicionLevel.SUSPECT)
         quarantine.note_answered(Q)
-        self.assertIs(table.standing("q"), Standing.CLEAR)
+        self.assertIs(table.standing("q"), SuspicionLevel.CLEAR)
         self.assertTrue(links.posted[-1][1].cases[0].marks[0].cleared)
 
     def test_undisturbed_trial_counts_as_alone(self):
@@ -171,7 +171,7 @@
         self.assertTrue(table.record("q").crash_records["t1"].alone)
         self.assertFalse(table.record("a").crash_records["t1"].alone)
 
-    @params(("x-a", Standing.CLEAR), ("", Standing.SUSPECT))
+    @params(("x-a", SuspicionLevel.CLEAR), ("", SuspicionLevel.SUSPECT))
     def test_data_center_outage_makes_no_request_a_suspect(self, data_center, expected):
         """Guards against a power failure that makes suspects of all its requests."""
         quarantine, table, _ = make_quarantine()
@@ -254,7 +254,7 @@
             )
 
         standing, time_left = curio.run(main)
-        self.assertIs(standing, Standing.HELD)
+        self.assertIs(standing, SuspicionLevel.HELD)
         self.assertAlmostEqual(time_left, RETENTION, delta=60.0)
 
     def test_damaged_file_does_not_prevent_the_start(self):
--- a/tests/test_quarantine_table.py
+++ b/tests/test_quarantine_table.py
@@ -4,7 +4,12 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.quarantine import RETENTION, CrashRecord, CrashTable, Standing
+from bronzepoint_node.quarantine import (
+    RETENTION,
+    CrashRecord,
+    CrashTable,
+    SuspicionLevel,
+)
 from bronzepoint_node.quarantine._case import MAX_CRASH_RECORDS
 from bronzepoint_node.quarantine._crash_table import (
     MAX_RECORDS,
@@ -30,17 +35,20 @@
 class TestStanding(unittest.TestCase):
     @params(
         # crashes (target, requests in progress, requests alone), standing of "q"
-        ([("t1", "q", "")], Standing.CLEAR),
-        ([("t1", "q", ""), ("t2", "q", "")], Standing.SUSPECT),
-        ([("t1", "q", ""), ("t2", "q", "q")], Standing.SUSPECT),
-        ([("t1", "q", ""), ("t2", "q", ""), ("t3", "q", "q")], Standing.HELD),
-        ([("t1", "q", ""), ("t2", "q", ""), ("t3", "q", "")], Standing.DOUBTFUL),
-        ([(f"t{n}", "q", "") for n in range(5)], Standing.HELD),
+        ([("t1", "q", "")], SuspicionLevel.CLEAR),
+        ([("t1", "q", ""), ("t2", "q", "")], SuspicionLevel.SUSPECT),
+        ([("t1", "q", ""), ("t2", "q", "q")], SuspicionLevel.SUSPECT),
+        ([("t1", "q", ""), ("t2", "q", ""), ("t3", "q", "q")], SuspicionLevel.HELD),
+        ([("t1", "q", ""), ("t2", "q", ""), ("t3", "q", "")], SuspicionLevel.DOUBTFUL),
+        ([(f"t{n}", "q", "") for n in range(5)], SuspicionLevel.HELD),
         # another host sent a suspect to the same target at the same time
-        ([("t1", "qa", ""), ("t2", "qa", ""), ("t3", "qa", "qa")], Standing.DOUBTFUL),
-        ([(f"t{n}", "qa", "qa") for n in range(5)], Standing.HELD),
+        (
+            [("t1", "qa", ""), ("t2", "qa", ""), ("t3", "qa", "qa")],
+            SuspicionLevel.DOUBTFUL,
+        ),
+        ([(f"t{n}", "qa", "qa") for n in range(5)], SuspicionLevel.HELD),
         # the same crash, reported by several hosts
-        ([("t1", "q", ""), ("t1", "q", ""), ("t1", "q", "")], Standing.CLEAR),
+        ([("t1", "q", ""), ("t1", "q", ""), ("t1", "q", "")], SuspicionLevel.CLEAR),
     )
     def test_crashes_of_one_request(self, crashes, expected):
         table = CrashTable()
@@ -48,13 +56,13 @@
             add_crash(table, target, names, alone)
         self.assertIs(table.standing("q"), expected)
 
-    @params((Standing.HELD, "q"), (Standing.CLEAR, "abc"))
+    @params((SuspicionLevel.HELD, "q"), (SuspicionLevel.CLEAR, "abc"))
     def test_blocked_request_clears_unrelated_ones(self, expected, names):
         """Guards against blaming a batch of streams that moved on together."""
         table = CrashTable()
         for target in ("t1", "t2"):
             add_crash(table, target, "qabc")
-        self.assertIs(table.standing("a"), Standing.SUSPECT)
+        self.assertIs(table.standing("a"), SuspicionLevel.SUSPECT)
         add_crash(table, "t3", "qabc", alone="q")
         for name in names:
             self.assertIs(table.standing(name), expected)
@@ -64,9 +72,9 @@
         table = CrashTable()
         for number, unrelated in enumerate("abcde"):
             add_crash(table, f"t{number}", f"q{unrelated}", alone=unrelated)
-        self.assertIs(table.standing("q"), Standing.HELD)
+        self.assertIs(table.standing("q"), SuspicionLevel.HELD)
         for unrelated in "abcde":
-            self.assertIs(table.standing(unrelated), Standing.CLEAR)
+            self.assertIs(table.standing(unrelated), SuspicionLevel.CLEAR)
 
     def test_complete_answer_clears_a_frequent_request(self):
         """Guards against blaming a frequent request that runs on every target."""
@@ -74,25 +82,25 @@
         for target in ("t1", "t2", "t3"):
             add_crash(table, target, "qp")
         self.assertTrue(table.clear("p", NOW))
-        self.assertIs(table.standing("p"), Standing.CLEAR)
-        self.assertIs(table.standing("q"), Standing.DOUBTFUL)
+        self.assertIs(table.standing("p"), SuspicionLevel.CLEAR)
+        self.assertIs(table.standing("q"), SuspicionLevel.DOUBTFUL)
         add_crash(table, "t4", "qp")
-        self.assertIs(table.standing("p"), Standing.CLEAR)
+        self.assertIs(table.standing("p"), SuspicionLevel.CLEAR)
 
     def test_two_late_crashes_make_no_suspect(self):
         table = CrashTable()
         for target in ("t1", "t2"):
             add_crash(table, target, "a", early=False)
-        self.assertIs(table.standing("a"), Standing.CLEAR)
+        self.assertIs(table.standing("a"), SuspicionLevel.CLEAR)
         for target in ("t3", "t4", "t5", "t6"):
             add_crash(table, target, "a", early=False)
-        self.assertIs(table.standing("a"), Standing.HELD)
+        self.assertIs(table.standing("a"), SuspicionLevel.HELD)
 
     def test_content_fingerprint_is_at_most_doubtful(self):
         table = CrashTable()
         for number in range(6):
             add_crash(table, f"t{number}", ["*q", f"q{number}"])
-        self.assertIs(table.standing("*q"), Standing.DOUBTFUL)
+        self.assertIs(table.standing("*q"), SuspicionLevel.DOUBTFUL)
 
     def test_surviving_run_clears_early_crashes(self):
         table = CrashTable()
@@ -100,7 +108,7 @@
         for target in ("t1", "t2", "t3"):
             add_crash(table, target, "a")
         self.assertTrue(table.clear("a", NOW, early_only=True))
-        self.assertIs(table.standing("a"), Standing.CLEAR)
+        self.assertIs(table.standing("a"), SuspicionLevel.CLEAR)
         self.assertEqual(len(table.record("a").active_crash_records), 1)
 
     def test_outage_makes_no_request_a_suspect(self):
@@ -110,7 +118,7 @@
             for target in targets:
                 add_crash(table, target, [f"of {target[-1]}"])
             table.clear_outage(targets, NOW)
-        self.assertIs(table.standing("of 1"), Standing.CLEAR)
+        self.assertIs(table.standing("of 1"), SuspicionLevel.CLEAR)
 
     def test_concurrent_copies_do_not_count_as_an_outage(self):
         table = CrashTable()
@@ -118,9 +126,9 @@
         for target in targets:
             add_crash(table, target, "q")
         table.clear_outage(targets, NOW)
-        self.assertIs(table.standing("q"), Standing.HELD)
+        self.assertIs(table.standing("q"), SuspicionLevel.HELD)
 
-    @params((0.5, Standing.HELD, 300.0), (1.01, Standing.CLEAR, 0.0))
+    @params((0.5, SuspicionLevel.HELD, 300.0), (1.01, SuspicionLevel.CLEAR, 0.0))
     def test_standing_expires_after_the_last_crash(self, passed, standing, time_left):
         table = CrashTable()
         for target in ("t1", "t2", "t3"):
@@ -142,7 +150,7 @@
         here.merge(sent[1], NOW)
         there.merge(sent[0], NOW)
         for table in (here, there):
-            self.assertIs(table.standing("q"), Standing.HELD)
+            self.assertIs(table.standing("q"), SuspicionLevel.HELD)
 
     def test_cleared_crash_stays_cleared_after_old_reports(self):
         """Guards against hosts that keep sending each other cleared crashes."""
@@ -152,9 +160,9 @@
         there.merge(here.select_cases(NOW, 16), NOW + 0.1)
         here.clear("q", NOW)
         here.merge(there.select_cases(NOW, 16), NOW + 0.2)
-        self.assertIs(here.standing("q"), Standing.CLEAR)
+        self.assertIs(here.standing("q"), SuspicionLevel.CLEAR)
         there.merge(here.select_cases(NOW, 16), NOW + 0.2)
-        self.assertIs(there.standing("q"), Standing.CLEAR)
+        self.assertIs(there.standing("q"), SuspicionLevel.CLEAR)
 
     def test_expired_crashes_are_not_merged(self):
         here, there = CrashTable(), CrashTable()
@@ -185,7 +193,7 @@
             add_crash(table, f"u{number}", [f"a{number}"], at=NOW + 100.0)
         later = NOW + 2 * SETTLED_AFTER
         started.merge(table.select_cases(later, 4), later)
-        self.assertIs(started.standing("q"), Standing.HELD)
+        self.assertIs(started.standing("q"), SuspicionLevel.HELD)
 
     def test_memory_and_messages_are_bounded(self):
         """Guards against a caller that makes hosts use ever more memory."""
@@ -201,7 +209,7 @@
         self.assertEqual(len(table.record("r").crash_records), MAX_CRASH_RECORDS)
         self.assertEqual(len(table.select_cases(NOW, 16)), 16)
         for name in "qr":
-            self.assertIs(table.standing(name), Standing.HELD)
+            self.assertIs(table.standing(name), SuspicionLevel.HELD)
 
     def test_each_record_is_sent_within_some_messages(self):
         table = CrashTable()
