--- a/packages/node/src/bronzepoint_node/quarantine/__init__.py
+++ b/packages/node/src/bronzepoint_node/quarantine/__init__.py
@@ -4,7 +4,7 @@
 from ._crash_table import CrashTable
 from ._crash_watch import Crash, CrashWatch, WatchedRun
 from ._fingerprint import RequestNames, is_any_caller, name_request
-from ._quarantine import Admitted, Held, Quarantine, TrialEnd
+from ._quarantine import Admitted, Blocked, Quarantine, TrialEnd
 from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel
 
 __all__ = [
@@ -15,7 +15,7 @@
     "Crash",
     "CrashTable",
     "CrashWatch",
-    "Held",
+    "Blocked",
     "CrashRecord",
     "Quarantine",
     "RequestNames",
--- a/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class Blocked:
     """The request must not be sent to a target.
 
     Attributes:
@@ -74,7 +74,7 @@
     retry_after: float
 
 
-Admission = Admitted | Held
+Admission = Admitted | Blocked
 
 
 class TrialEnd(Enum):
@@ -190,18 +190,18 @@
         """
         while names.content in self._trials and self._is_on_trial(names):
             if monotonic() >= until:
-                return Held(RETRY_AFTER)
+                return Blocked(RETRY_AFTER)
             await curio.sleep(TRIAL_POLL_INTERVAL)
         match self.standing(names):
             case SuspicionLevel.CLEAR:
                 return Admitted()
             case SuspicionLevel.HELD:
-                return Held(self._table.blocked_for(names.exact, monotonic()))
+                return Blocked(self._table.blocked_for(names.exact, monotonic()))
             case SuspicionLevel.SUSPECT:
                 self._trials.add(names.content)
                 return Admitted(suspect=True)
         self._trials.add(names.content)
-        admission: Admission = Held(RETRY_AFTER)
+        admission: Admission = Blocked(RETRY_AFTER)
         try:
             if has_permit or names.content in self._unused_permits:
                 self._unused_permits.discard(names.content)
@@ -209,7 +209,7 @@
             else:
                 admission = await self._request_permit(names.content)
         finally:
-            if isinstance(admission, Held):
+            if isinstance(admission, Blocked):
                 self._trials.discard(names.content)
         return admission
 
@@ -239,22 +239,22 @@
         """Request a permit from the core host responsible for this fingerprint."""
         core = rendezvous_order(fingerprint, self._core())
         if not core:
-            return Held(RETRY_AFTER)
+            return Blocked(RETRY_AFTER)
         try:
             reply = await self._peers.call(
                 core[0], Area.QUARANTINE, TrialRequest(fingerprint), PERMIT_TIMEOUT
             )
         except PeerError as exc:
             _log.info("no permit for a trial", core=core[0], reason=str(exc))
-            return Held(RETRY_AFTER)
+            return Blocked(RETRY_AFTER)
         match reply:
             case TrialReply(granted=True):
                 self._metrics.incr("quarantine.trial_granted")
                 return Admitted(suspect=True, by_permit=True)
             case TrialReply(retry_ms=retry_ms):
                 self._metrics.incr("quarantine.trial_denied")
-                return Held(retry_ms / 1000)
-        return Held(RETRY_AFTER)
+                return Blocked(retry_ms / 1000)
+        return Blocked(RETRY_AFTER)
 
     def _report(self, fingerprints: Iterable[Fingerprint]) -> None:
         """Send the records with early crashes to all core hosts at once.
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -16,7 +16,7 @@
     SchedulerClient,
     select_service,
 )
-from bronzepoint_node.quarantine import Held, Quarantine, SuspicionLevel, TrialEnd
+from bronzepoint_node.quarantine import Blocked, Quarantine, SuspicionLevel, TrialEnd
 
 from ._answer_writer import AnswerWriter
 from ._authenticator import Authenticator
@@ -147,7 +147,7 @@
             admission = await self._quarantine.admit(
                 call.fingerprints, waited_until, call.has_permit
             )
-            if isinstance(admission, Held):
+            if isinstance(admission, Blocked):
                 await self._answer_writer.refuse_blocked(call, admission.retry_after)
                 return
             call.suspect = admission.suspect
--- a/tests/test_quarantine_admission.py
+++ b/tests/test_quarantine_admission.py
@@ -15,10 +15,10 @@
 from bronzepoint_node.quarantine import (
     RETENTION,
     Admitted,
+    Blocked,
     Crash,
     CrashRecord,
     CrashTable,
-    Held,
     Quarantine,
     RequestNames,
     SuspicionLevel,
@@ -87,23 +87,23 @@
         (1, False, None, Admitted()),
         (2, False, None, Admitted(suspect=True)),
         (3, False, TrialReply(True, 0), Admitted(suspect=True, by_permit=True)),
-        (3, False, TrialReply(False, 60_000), Held),
-        (3, False, None, Held),
-        (3, True, TrialReply(True, 0), Held),
-        (5, False, TrialReply(True, 0), Held),
+        (3, False, TrialReply(False, 60_000), Blocked),
+        (3, False, None, Blocked),
+        (3, True, TrialReply(True, 0), Blocked),
+        (5, False, TrialReply(True, 0), Blocked),
     )
     def test_admission_depends_on_crashes(self, crashes, alone, reply, expected):
         quarantine, table, links = make_quarantine(reply)
         add_crashes(table, "q", crashes, alone)
         admission = curio.run(quarantine.admit, Q, monotonic())
-        if expected is Held:
-            self.assertIsInstance(admission, Held)
+        if expected is Blocked:
+            self.assertIsInstance(admission, Blocked)
             self.assertGreater(admission.retry_after, 1.0)
         else:
             self.assertEqual(admission, expected)
         self.assertEqual(len(links.calls), int(crashes == 3 and not alone))
 
-    @params((1, Admitted()), (2, Admitted(True)), (5, Held))
+    @params((1, Admitted()), (2, Admitted(True)), (5, Blocked))
     def test_content_counts_for_all_callers(self, callers, expected):
         """Guards against a caller that uses another address for each request."""
         quarantine, table, _ = make_quarantine(TrialReply(False, 60_000))
@@ -113,8 +113,8 @@
             quarantine.note_crash(Crash(target(f"t{number}"), monotonic(), [run]))
         names = RequestNames("q of another", "*q")
         admission = curio.run(quarantine.admit, names, monotonic())
-        if expected is Held:
-            self.assertIsInstance(admission, Held)
+        if expected is Blocked:
+            self.assertIsInstance(admission, Blocked)
         else:
             self.assertEqual(admission, expected)
 
@@ -149,7 +149,7 @@
 
         first, late, second = curio.run(main)
         self.assertEqual(first, Admitted(suspect=True))
-        self.assertIsInstance(late, Held)
+        self.assertIsInstance(late, Blocked)
         self.assertEqual(second, Admitted())
 
 
