--- a/packages/node/src/bronzepoint_node/quarantine/__init__.py
+++ b/packages/node/src/bronzepoint_node/quarantine/__init__.py
@@ -1,8 +1,8 @@
 """Detection and isolation of requests that crash the targets that run them."""
 
 from ._case import RETENTION, CrashRecord, SuspectRecord
+from ._crash_detector import Crash, CrashDetector, WatchedRun
 from ._crash_table import CrashTable
-from ._crash_watch import Crash, CrashWatch, WatchedRun
 from ._fingerprint import RequestNames, is_any_caller, name_request
 from ._quarantine import Admitted, Blocked, Quarantine, TrialEnd
 from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel
@@ -14,7 +14,7 @@
     "SuspectRecord",
     "Crash",
     "CrashTable",
-    "CrashWatch",
+    "CrashDetector",
     "Blocked",
     "CrashRecord",
     "Quarantine",
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_watch.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_detector.py
@@ -119,7 +119,7 @@
     check_done: curio.Event | None = None
 
 
-class CrashWatch:
+class CrashDetector:
     """Distinguishes target crashes from other failures of requests.
 
     A connection reset, an expired deadline or a broken link doesn't prove a crash. A
@@ -209,7 +209,7 @@
             watched.trials.discard(run)
         return watched
 
-    async def look(self, target: TargetInfo) -> bool:
+    async def check_crash(self, target: TargetInfo) -> bool:
         """Check whether a target whose answer was just interrupted has crashed.
 
         Requests that fail at the same time share one check.
--- a/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
@@ -21,8 +21,8 @@
 from bronzepoint_schema.ids import Fingerprint, HostName
 
 from ._case import CrashRecord
+from ._crash_detector import Crash
 from ._crash_table import CrashTable
-from ._crash_watch import Crash
 from ._fingerprint import RequestNames
 from ._standing import SuspicionLevel
 
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -15,7 +15,7 @@
     TargetTable,
     is_unresponsive,
 )
-from bronzepoint_node.quarantine import CrashWatch, WatchedRun
+from bronzepoint_node.quarantine import CrashDetector, WatchedRun
 from bronzepoint_schema.generated.decisions import TryResult
 from bronzepoint_schema.generated.fleet import TargetInfo
 from bronzepoint_schema.generated.target_loads import FirstToken, Hold
@@ -68,7 +68,7 @@
         table: Targets of the region.
         placer: Records latencies and unreachable hosts.
         cold: Records requests sent to cold targets.
-        watch: Records failed requests, and detects target crashes.
+        crash_detector: Records failed requests, and detects target crashes.
         client: Connections to targets.
         hosts: Connections to entry hosts of other regions.
         codec: Builds request headers and classifies answers.
@@ -82,7 +82,7 @@
         table: TargetTable,
         placer: Placer,
         cold: ColdStartLimiter,
-        watch: CrashWatch,
+        crash_detector: CrashDetector,
         client: HttpClient,
         hosts: HttpClient,
         codec: Codec,
@@ -93,7 +93,7 @@
         self._table = table
         self._placer = placer
         self._cold = cold
-        self._watch = watch
+        self._crash_detector = crash_detector
         self._client = client
         self._hosts = hosts
         self._codec = codec
@@ -137,9 +137,9 @@
         """Exclude a run from a reached limit if its target has ended."""
         if not call.route.repeatable:
             # No retry depends on the result, so the caller needn't wait for it.
-            await curio.spawn(self._watch.look, target, daemon=True)
+            await curio.spawn(self._crash_detector.check_crash, target, daemon=True)
             return
-        ended = await self._watch.look(target)
+        ended = await self._crash_detector.check_crash(target)
         if ended and call.counted_runs >= call.max_runs:
             call.ended_runs += 1
             call.notes[-1] += ", ended"
@@ -164,14 +164,14 @@
         speeds, rank = self._placer.speeds, call.rank(now)
         prompt, source = call.head.prompt, placement.fetch_from
         uncached = target.begin(run_id, prompt, rank, now, placement.cached_tokens)
-        watched = self._watch.begin(
+        watched = self._crash_detector.begin(
             target.info, call.fingerprints, call.suspect, placement.quiet
         )
         if call.suspect:
             target.trials.add(watched)
 
         def on_progress(events: int, seconds: float) -> None:
-            self._watch.note_event(target.info, watched)
+            self._crash_detector.note_event(target.info, watched)
             run = target.load.runs.get(run_id)
             if run is None:
                 return
@@ -222,7 +222,7 @@
                 # The target list is outdated. Until its next update every request
                 # placed on this target would be sent there and refused.
                 target.note_replaced()
-                self._watch.note_replaced(target.info)
+                self._crash_detector.note_replaced(target.info)
             case NotRun(reason="connect_failed"):
                 target.record_failed_connection(monotonic())
         if result is TryResult.answered:
@@ -234,11 +234,11 @@
     ) -> None:
         match outcome:
             case Answered():
-                self._watch.note_answered(target, run)
+                self._crash_detector.note_answered(target, run)
             case NotRun():
-                self._watch.note_not_run(target, run)
+                self._crash_detector.note_not_run(target, run)
             case MayHaveRun() | None:
-                self._watch.note_broken(target, run)
+                self._crash_detector.note_broken(target, run)
 
     async def _try_region(
         self, call: Call, placement: RemotePlacement, service: str
--- a/tests/test_quarantine_crash_watch.py
+++ b/tests/test_quarantine_crash_watch.py
@@ -6,7 +6,7 @@
 from nose2.tools import params
 
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.quarantine import CrashWatch, RequestNames, name_request
+from bronzepoint_node.quarantine import CrashDetector, RequestNames, name_request
 from bronzepoint_schema.generated.fleet import TargetInfo
 
 
@@ -23,7 +23,7 @@
         self.crashes = []
         self.answered = []
         self.survived = []
-        self.watch = CrashWatch(self._is_refused, self, Metrics())
+        self.crash_detector = CrashDetector(self._is_refused, self, Metrics())
 
     def note_crash(self, crash):
         self.crashes.append(crash)
@@ -40,9 +40,9 @@
         return self.refused
 
     def begin(self, name, info, event=False):
-        run = self.watch.begin(info, RequestNames(name, f"*{name}"))
+        run = self.crash_detector.begin(info, RequestNames(name, f"*{name}"))
         if event:
-            self.watch.note_event(info, run)
+            self.crash_detector.note_event(info, run)
         return run
 
     def reported(self):
@@ -76,7 +76,7 @@
         self.assertEqual(RequestNames.parse(text), RequestNames())
 
 
-class TestCrashWatch(unittest.TestCase):
+class TestCrashDetector(unittest.TestCase):
     @params((True, [["a", "b"]]), (False, []))
     def test_reset_by_a_listening_target_is_no_crash(self, refused, reported):
         async def main():
@@ -84,10 +84,10 @@
             recorder.refused = refused
             runs = [recorder.begin(name, target()) for name in ("a", "b")]
             for run in runs:
-                recorder.watch.note_broken(target(), run)
+                recorder.crash_detector.note_broken(target(), run)
             async with curio.TaskGroup() as group:
                 for _ in runs:
-                    await group.spawn(recorder.watch.look, target())
+                    await group.spawn(recorder.crash_detector.check_crash, target())
             return recorder
 
         recorder = curio.run(main)
@@ -99,8 +99,8 @@
             recorder = Recorder()
             recorder.refused = True
             run = recorder.begin("a", target())
-            recorder.watch.note_broken(target(), run)
-            ended = await recorder.watch.look(target(leaving=True))
+            recorder.crash_detector.note_broken(target(), run)
+            ended = await recorder.crash_detector.check_crash(target(leaving=True))
             return ended, recorder.reported()
 
         self.assertEqual(curio.run(main), (False, []))
@@ -117,30 +117,30 @@
     ):
         """Guards against missing the crash of a target that hangs and restarts."""
         recorder = Recorder()
-        recorder.watch.note_listed([target()])
+        recorder.crash_detector.note_listed([target()])
         run = recorder.begin("a", target())
-        recorder.watch.note_broken(target(), run)
+        recorder.crash_detector.note_broken(target(), run)
         listed = TargetInfo(name, service, "10.0.0.1:80", "x-a", 6, False, 0)
-        recorder.watch.note_listed([target(), listed])
+        recorder.crash_detector.note_listed([target(), listed])
         self.assertEqual(recorder.reported(), reported)
 
     def test_run_on_an_unresponsive_target_is_reported_when_it_ends(self):
         recorder = Recorder()
-        recorder.watch.note_listed([target()])
+        recorder.crash_detector.note_listed([target()])
         run = recorder.begin("a", target())
-        recorder.watch.note_listed([target("t-2")])
+        recorder.crash_detector.note_listed([target("t-2")])
         self.assertEqual(recorder.reported(), [])
-        recorder.watch.note_broken(target(), run)
+        recorder.crash_detector.note_broken(target(), run)
         self.assertEqual(recorder.reported(), [["a"]])
 
     def test_older_incarnation_that_stays_listed_is_not_newer(self):
         """Guards against blaming runs for connection resets by a healthy target."""
         recorder = Recorder()
-        recorder.watch.note_listed([target("t-1")])
-        recorder.watch.note_listed([target("t-1"), target("t-2")])
+        recorder.crash_detector.note_listed([target("t-1")])
+        recorder.crash_detector.note_listed([target("t-1"), target("t-2")])
         run = recorder.begin("a", target("t-2"))
-        recorder.watch.note_broken(target("t-2"), run)
-        recorder.watch.note_listed([target("t-2"), target("t-1")])
+        recorder.crash_detector.note_broken(target("t-2"), run)
+        recorder.crash_detector.note_listed([target("t-2"), target("t-1")])
         self.assertEqual(recorder.reported(), [])
 
     def test_run_that_failed_before_the_last_contact_is_not_reported(self):
@@ -149,11 +149,11 @@
         async def main():
             recorder = Recorder()
             early, late = recorder.begin("a", target()), recorder.begin("b", target())
-            recorder.watch.note_broken(target(), early)
+            recorder.crash_detector.note_broken(target(), early)
             await curio.sleep(0.25)
-            recorder.watch.note_event(target(), late)
-            recorder.watch.note_broken(target(), late)
-            recorder.watch.note_replaced(target())
+            recorder.crash_detector.note_event(target(), late)
+            recorder.crash_detector.note_broken(target(), late)
+            recorder.crash_detector.note_replaced(target())
             return recorder.reported()
 
         self.assertEqual(curio.run(main), [["b"]])
@@ -163,9 +163,9 @@
             recorder = Recorder()
             recorder.refused = True
             first, second = recorder.begin("a", target()), recorder.begin("b", target())
-            recorder.watch.note_broken(target(), first)
-            await recorder.watch.look(target())
-            recorder.watch.note_broken(target(), second)
+            recorder.crash_detector.note_broken(target(), first)
+            await recorder.crash_detector.check_crash(target())
+            recorder.crash_detector.note_broken(target(), second)
             return recorder.reported()
 
         self.assertEqual(curio.run(main), [["a"], ["b"]])
@@ -175,8 +175,8 @@
         recorder = Recorder()
         run = recorder.begin("a", target(), event=True)
         run.first_event_at -= runtime
-        recorder.watch.note_event(target(), run)
-        recorder.watch.note_broken(target(), run)
+        recorder.crash_detector.note_event(target(), run)
+        recorder.crash_detector.note_broken(target(), run)
         self.assertEqual(run.is_early, early)
         self.assertEqual(recorder.survived, [] if early else ["a"])
 
@@ -190,10 +190,10 @@
         """Guards against blaming a suspect for another run that began with it."""
         recorder = Recorder()
         names = RequestNames("q", "*q")
-        run = recorder.watch.begin(target(), names, suspect=True, quiet=quiet)
+        run = recorder.crash_detector.begin(target(), names, suspect=True, quiet=quiet)
         if overlapped:
             recorder.begin("a", target())
-        recorder.watch.note_broken(target(), run)
+        recorder.crash_detector.note_broken(target(), run)
         self.assertEqual(run.is_alone, alone)
 
 
