--- a/packages/node/src/bronzepoint_node/quarantine/_crash_detector.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_detector.py
@@ -101,7 +101,7 @@
     def note_survived(self, names: RequestNames) -> None:
         """Handle a request that has run past the early phase."""
 
-    def note_answered(self, names: RequestNames) -> None:
+    def record_answered(self, names: RequestNames) -> None:
         """Handle a request that a target has answered completely."""
 
 
@@ -165,7 +165,7 @@
             watched.trials.add(run)
         return run
 
-    def note_event(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_event(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record an event in the answer to a run."""
         now = monotonic()
         if not run.first_event_at:
@@ -175,13 +175,13 @@
             self._listener.note_survived(run.names)
         self.record_contact(target, now)
 
-    def note_answered(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_answered(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that a run ended with a complete answer."""
         self._end_run(target, run)
         self.record_contact(target, monotonic())
-        self._listener.note_answered(run.names)
+        self._listener.record_answered(run.names)
 
-    def note_not_run(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_not_run(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that the target never began a run."""
         self._end_run(target, run)
 
@@ -191,7 +191,7 @@
         if watched is not None:
             watched.last_contact_at = now
 
-    def note_broken(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_failure(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that a run ended without a complete answer."""
         watched = self._end_run(target, run)
         if watched is None:
@@ -234,13 +234,13 @@
             watched.check_done = None
         return bool(watched.crashed_at)
 
-    def note_replaced(self, target: TargetInfo) -> None:
+    def record_replacement(self, target: TargetInfo) -> None:
         """Record that another incarnation answers at the address of a target."""
         watched = self._targets.get(target.incarnation)
         if watched is not None and not watched.crashed_at and not target.leaving:
             self._note_crashed(watched)
 
-    def note_listed(self, listed: Iterable[TargetInfo]) -> None:
+    def record_list(self, listed: Iterable[TargetInfo]) -> None:
         """Check the target list for new incarnations at the addresses in use.
 
         A crashed target stays listed for some seconds, possibly along with the next
--- a/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
@@ -147,7 +147,7 @@
         """Clear early crashes of a request that has run past the early phase."""
         self._clear(names, early_only=True)
 
-    def note_answered(self, names: RequestNames) -> None:
+    def record_answered(self, names: RequestNames) -> None:
         """Clear all crashes of a request that a target has answered completely."""
         self._clear(names)
 
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -171,7 +171,7 @@
             target.trials.add(watched)
 
         def on_progress(events: int, seconds: float) -> None:
-            self._crash_detector.note_event(target.info, watched)
+            self._crash_detector.record_event(target.info, watched)
             run = target.load.runs.get(run_id)
             if run is None:
                 return
@@ -222,7 +222,7 @@
                 # The target list is outdated. Until its next update every request
                 # placed on this target would be sent there and refused.
                 target.note_replaced()
-                self._crash_detector.note_replaced(target.info)
+                self._crash_detector.record_replacement(target.info)
             case NotRun(reason="connect_failed"):
                 target.record_failed_connection(monotonic())
         if result is TryResult.answered:
@@ -234,11 +234,11 @@
     ) -> None:
         match outcome:
             case Answered():
-                self._crash_detector.note_answered(target, run)
+                self._crash_detector.record_answered(target, run)
             case NotRun():
-                self._crash_detector.note_not_run(target, run)
+                self._crash_detector.record_not_run(target, run)
             case MayHaveRun() | None:
-                self._crash_detector.note_broken(target, run)
+                self._crash_detector.record_failure(target, run)
 
     async def _try_region(
         self, call: Call, placement: RemotePlacement, service: str
--- a/tests/test_quarantine_admission.py
+++ b/tests/test_quarantine_admission.py
@@ -143,7 +143,7 @@
             late = await quarantine.admit(Q, monotonic())
             second = await curio.spawn(quarantine.admit, Q, until)
             await curio.sleep(0.05)
-            quarantine.note_answered(Q)
+            quarantine.record_answered(Q)
             quarantine.end_trial(Q)
             return first, late, await second.join()
 
@@ -160,7 +160,7 @@
             quarantine.note_crash(Crash(target(name), monotonic(), [failed_run("q")]))
         self.assertEqual([peer for peer, _ in links.posted], ["c1", "c2", "c3"] * 2)
         self.assertIs(table.standing("q"), SuspicionLevel.SUSPECT)
-        quarantine.note_answered(Q)
+        quarantine.record_answered(Q)
         self.assertIs(table.standing("q"), SuspicionLevel.CLEAR)
         self.assertTrue(links.posted[-1][1].cases[0].marks[0].cleared)
 
--- a/tests/test_quarantine_crash_watch.py
+++ b/tests/test_quarantine_crash_watch.py
@@ -31,7 +31,7 @@
     def note_survived(self, names):
         self.survived.append(names.exact)
 
-    def note_answered(self, names):
+    def record_answered(self, names):
         self.answered.append(names.exact)
 
     async def _is_refused(self, address):
@@ -42,7 +42,7 @@
     def begin(self, name, info, event=False):
         run = self.crash_detector.begin(info, RequestNames(name, f"*{name}"))
         if event:
-            self.crash_detector.note_event(info, run)
+            self.crash_detector.record_event(info, run)
         return run
 
     def reported(self):
@@ -84,7 +84,7 @@
             recorder.refused = refused
             runs = [recorder.begin(name, target()) for name in ("a", "b")]
             for run in runs:
-                recorder.crash_detector.note_broken(target(), run)
+                recorder.crash_detector.record_failure(target(), run)
             async with curio.TaskGroup() as group:
                 for _ in runs:
                     await group.spawn(recorder.crash_detector.check_crash, target())
@@ -99,7 +99,7 @@
             recorder = Recorder()
             recorder.refused = True
             run = recorder.begin("a", target())
-            recorder.crash_detector.note_broken(target(), run)
+            recorder.crash_detector.record_failure(target(), run)
             ended = await recorder.crash_detector.check_crash(target(leaving=True))
             return ended, recorder.reported()
 
@@ -117,30 +117,30 @@
     ):
         """Guards against missing the crash of a target that hangs and restarts."""
         recorder = Recorder()
-        recorder.crash_detector.note_listed([target()])
+        recorder.crash_detector.record_list([target()])
         run = recorder.begin("a", target())
-        recorder.crash_detector.note_broken(target(), run)
+        recorder.crash_detector.record_failure(target(), run)
         listed = TargetInfo(name, service, "10.0.0.1:80", "x-a", 6, False, 0)
-        recorder.crash_detector.note_listed([target(), listed])
+        recorder.crash_detector.record_list([target(), listed])
         self.assertEqual(recorder.reported(), reported)
 
     def test_run_on_an_unresponsive_target_is_reported_when_it_ends(self):
         recorder = Recorder()
-        recorder.crash_detector.note_listed([target()])
+        recorder.crash_detector.record_list([target()])
         run = recorder.begin("a", target())
-        recorder.crash_detector.note_listed([target("t-2")])
+        recorder.crash_detector.record_list([target("t-2")])
         self.assertEqual(recorder.reported(), [])
-        recorder.crash_detector.note_broken(target(), run)
+        recorder.crash_detector.record_failure(target(), run)
         self.assertEqual(recorder.reported(), [["a"]])
 
     def test_older_incarnation_that_stays_listed_is_not_newer(self):
         """Guards against blaming runs for connection resets by a healthy target."""
         recorder = Recorder()
-        recorder.crash_detector.note_listed([target("t-1")])
-        recorder.crash_detector.note_listed([target("t-1"), target("t-2")])
+        recorder.crash_detector.record_list([target("t-1")])
+        recorder.crash_detector.record_list([target("t-1"), target("t-2")])
         run = recorder.begin("a", target("t-2"))
-        recorder.crash_detector.note_broken(target("t-2"), run)
-        recorder.crash_detector.note_listed([target("t-2"), target("t-1")])
+        recorder.crash_detector.record_failure(target("t-2"), run)
+        recorder.crash_detector.record_list([target("t-2"), target("t-1")])
         self.assertEqual(recorder.reported(), [])
 
     def test_run_that_failed_before_the_last_contact_is_not_reported(self):
@@ -149,11 +149,11 @@
         async def main():
             recorder = Recorder()
             early, late = recorder.begin("a", target()), recorder.begin("b", target())
-            recorder.crash_detector.note_broken(target(), early)
+            recorder.crash_detector.record_failure(target(), early)
             await curio.sleep(0.25)
-            recorder.crash_detector.note_event(target(), late)
-            recorder.crash_detector.note_broken(target(), late)
-            recorder.crash_detector.note_replaced(target())
+            recorder.crash_detector.record_event(target(), late)
+            recorder.crash_detector.record_failure(target(), late)
+            recorder.crash_detector.record_replacement(target())
             return recorder.reported()
 
         self.assertEqual(curio.run(main), [["b"]])
@@ -163,9 +163,9 @@
             recorder = Recorder()
             recorder.refused = True
             first, second = recorder.begin("a", target()), recorder.begin("b", target())
-            recorder.crash_detector.note_broken(target(), first)
+            recorder.crash_detector.record_failure(target(), first)
             await recorder.crash_detector.check_crash(target())
-            recorder.crash_detector.note_broken(target(), second)
+            recorder.crash_detector.record_failure(target(), second)
             return recorder.reported()
 
         self.assertEqual(curio.run(main), [["a"], ["b"]])
@@ -175,8 +175,8 @@
         recorder = Recorder()
         run = recorder.begin("a", target(), event=True)
         run.first_event_at -= runtime
-        recorder.crash_detector.note_event(target(), run)
-        recorder.crash_detector.note_broken(target(), run)
+        recorder.crash_detector.record_event(target(), run)
+        recorder.crash_detector.record_failure(target(), run)
         self.assertEqual(run.is_early, early)
         self.assertEqual(recorder.survived, [] if early else ["a"])
 
@@ -193,7 +193,7 @@
         run = recorder.crash_detector.begin(target(), names, suspect=True, quiet=quiet)
         if overlapped:
             recorder.begin("a", target())
-        recorder.crash_detector.note_broken(target(), run)
+        recorder.crash_detector.record_failure(target(), run)
         self.assertEqual(run.is_alone, alone)
 
 
