--- a/packages/node/src/bronzepoint_node/quarantine/__init__.py
+++ b/packages/node/src/bronzepoint_node/quarantine/__init__.py
@@ -3,7 +3,7 @@
 from ._case import RETENTION, CrashRecord, SuspectRecord
 from ._crash_detector import Crash, CrashDetector, WatchedRun
 from ._crash_table import CrashTable
-from ._fingerprint import RequestNames, is_any_caller, name_request
+from ._fingerprint import RequestFingerprints, fingerprint_request, is_any_caller
 from ._quarantine import Admitted, Blocked, Quarantine, TrialEnd
 from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel
 
@@ -18,10 +18,10 @@
     "Blocked",
     "CrashRecord",
     "Quarantine",
-    "RequestNames",
+    "RequestFingerprints",
     "SuspicionLevel",
     "TrialEnd",
     "WatchedRun",
     "is_any_caller",
-    "name_request",
+    "fingerprint_request",
 ]
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_detector.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_detector.py
@@ -12,7 +12,7 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_schema.generated.fleet import TargetInfo
 
-from ._fingerprint import RequestNames
+from ._fingerprint import RequestFingerprints
 
 FAILED_RUN_RETENTION = 10.0
 """Seconds for which a failed run is kept. The crash of an unresponsive target is only
@@ -38,7 +38,7 @@
     """One attempt to run a request on a target; times are monotonic seconds.
 
     Attributes:
-        names: Fingerprints of the request.
+        fingerprints: Fingerprints of the request.
         began: Time at which it was sent.
         first_event_at: Time of its first event; 0 if none has arrived.
         ended_at: Time at which it ended; 0 while it runs.
@@ -48,7 +48,7 @@
         survived: Whether it ran on past the early phase.
     """
 
-    names: RequestNames
+    fingerprints: RequestFingerprints
     began: float
     first_event_at: float = 0.0
     ended_at: float = 0.0
@@ -98,10 +98,10 @@
     def note_crash(self, crash: Crash) -> None:
         """Handle a crash; called again for runs that fail later because of it."""
 
-    def note_survived(self, names: RequestNames) -> None:
+    def note_survived(self, fingerprints: RequestFingerprints) -> None:
         """Handle a request that has run past the early phase."""
 
-    def record_answered(self, names: RequestNames) -> None:
+    def record_answered(self, fingerprints: RequestFingerprints) -> None:
         """Handle a request that a target has answered completely."""
 
 
@@ -147,13 +147,13 @@
     def begin(
         self,
         target: TargetInfo,
-        names: RequestNames,
+        fingerprints: RequestFingerprints,
         suspect: bool = False,
         quiet: bool = False,
     ) -> WatchedRun:
         """Register a run that is sent to a target."""
         now = monotonic()
-        run = WatchedRun(names, now, suspect=suspect, quiet=quiet)
+        run = WatchedRun(fingerprints, now, suspect=suspect, quiet=quiet)
         watched = self._targets.get(target.incarnation)
         if watched is None:
             self._drop_stale(now)
@@ -172,14 +172,14 @@
             run.first_event_at = now
         elif not run.survived and now - run.first_event_at > EARLY_PHASE:
             run.survived = True
-            self._listener.note_survived(run.names)
+            self._listener.note_survived(run.fingerprints)
         self.record_contact(target, now)
 
     def record_answered(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that a run ended with a complete answer."""
         self._end_run(target, run)
         self.record_contact(target, monotonic())
-        self._listener.record_answered(run.names)
+        self._listener.record_answered(run.fingerprints)
 
     def record_not_run(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that the target never began a run."""
@@ -296,7 +296,8 @@
             runs=len(runs),
             early=len(early),
             newest={
-                run.names.exact: round(run.ended_at - run.began, 3) for run in newest
+                run.fingerprints.exact: round(run.ended_at - run.began, 3)
+                for run in newest
             },
         )
 
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
@@ -8,7 +8,7 @@
 from bronzepoint_schema.ids import Fingerprint
 
 from ._case import RETENTION, CrashRecord, SuspectRecord
-from ._fingerprint import RequestNames
+from ._fingerprint import RequestFingerprints
 from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel, suspicion_levels
 
 MAX_RECORDS = 512
@@ -64,7 +64,7 @@
         """Return the standing of one fingerprint."""
         return self._standings.get(fingerprint, SuspicionLevel.CLEAR)
 
-    def standing_of(self, fingerprints: RequestNames) -> SuspicionLevel:
+    def standing_of(self, fingerprints: RequestFingerprints) -> SuspicionLevel:
         """Return the standing of a request: the stricter one of its fingerprints."""
         if not self._standings:
             return SuspicionLevel.CLEAR
--- a/packages/node/src/bronzepoint_node/quarantine/_fingerprint.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_fingerprint.py
@@ -13,7 +13,7 @@
 """Prefix of a fingerprint that doesn't include the caller."""
 
 
-class RequestNames(Struct, frozen=True):
+class RequestFingerprints(Struct, frozen=True):
     """Fingerprints of a request, independent of its request id.
 
     Attributes:
@@ -28,7 +28,7 @@
         return f"{self.exact} {self.content}"
 
     @classmethod
-    def parse(cls, text: str) -> "RequestNames":
+    def parse(cls, text: str) -> "RequestFingerprints":
         """Parse fingerprints sent by another host; invalid text gives empty ones."""
         exact, _, content = text.partition(" ")
         if len(exact) != 2 * DIGEST_BYTES or not is_any_caller(Fingerprint(content)):
@@ -36,7 +36,9 @@
         return cls(Fingerprint(exact), Fingerprint(content))
 
 
-def name_request(host: str, path: str, caller: str, body: bytes) -> RequestNames:
+def fingerprint_request(
+    host: str, path: str, caller: str, body: bytes
+) -> RequestFingerprints:
     """Return the fingerprints of a request.
 
     Args:
@@ -53,7 +55,7 @@
     digest.update(body)
     content = digest.hexdigest()
     digest.update(b"\0" + caller.encode())
-    return RequestNames(
+    return RequestFingerprints(
         Fingerprint(digest.hexdigest()), Fingerprint(ANY_CALLER_PREFIX + content)
     )
 
--- a/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
@@ -23,7 +23,7 @@
 from ._case import CrashRecord
 from ._crash_detector import Crash
 from ._crash_table import CrashTable
-from ._fingerprint import RequestNames
+from ._fingerprint import RequestFingerprints
 from ._standing import SuspicionLevel
 
 MAX_CASES_PER_NOTICE = 24
@@ -135,7 +135,7 @@
         target = crash.target.incarnation
         crash_records: dict[Fingerprint, CrashRecord] = {}
         for run in crash.runs:
-            for fingerprint in _fingerprints(run.names):
+            for fingerprint in _fingerprints(run.fingerprints):
                 crash_record = CrashRecord(crash.at, run.is_early, run.is_alone)
                 crash_records.setdefault(fingerprint, crash_record).merge(crash_record)
         now = monotonic()
@@ -143,16 +143,18 @@
         self._clear_outage(crash, now)
         self._report(crash_records)
 
-    def note_survived(self, names: RequestNames) -> None:
+    def note_survived(self, fingerprints: RequestFingerprints) -> None:
         """Clear early crashes of a request that has run past the early phase."""
-        self._clear(names, early_only=True)
+        self._clear(fingerprints, early_only=True)
 
-    def record_answered(self, names: RequestNames) -> None:
+    def record_answered(self, fingerprints: RequestFingerprints) -> None:
         """Clear all crashes of a request that a target has answered completely."""
-        self._clear(names)
+        self._clear(fingerprints)
 
-    def _clear(self, names: RequestNames, early_only: bool = False) -> None:
-        for fingerprint in _fingerprints(names):
+    def _clear(
+        self, fingerprints: RequestFingerprints, early_only: bool = False
+    ) -> None:
+        for fingerprint in _fingerprints(fingerprints):
             if fingerprint not in self._table:
                 continue
             if self._table.clear(fingerprint, monotonic(), early_only):
@@ -172,58 +174,63 @@
         if len(crashed_together) > MAX_INDEPENDENT_CRASHES:
             self._report(self._table.clear_outage(crashed_together, now))
 
-    def standing(self, names: RequestNames) -> SuspicionLevel:
+    def standing(self, fingerprints: RequestFingerprints) -> SuspicionLevel:
         """Return the current standing of a request."""
-        return self._table.standing_of(names)
+        return self._table.standing_of(fingerprints)
 
     async def admit(
-        self, names: RequestNames, until: float, has_permit: bool = False
+        self, fingerprints: RequestFingerprints, until: float, has_permit: bool = False
     ) -> Admission:
         """Return whether a request may be placed.
 
         After the trial of a suspect, the caller must call ``end_trial``.
 
         Args:
-            names: Fingerprints of the request.
+            fingerprints: Fingerprints of the request.
             until: Monotonic time until which it may wait for another copy's trial.
             has_permit: Whether a core host has already granted a permit.
         """
-        while names.content in self._trials and self._is_on_trial(names):
+        while fingerprints.content in self._trials and self._is_on_trial(fingerprints):
             if monotonic() >= until:
                 return Blocked(RETRY_AFTER)
             await curio.sleep(TRIAL_POLL_INTERVAL)
-        match self.standing(names):
+        match self.standing(fingerprints):
             case SuspicionLevel.CLEAR:
                 return Admitted()
             case SuspicionLevel.HELD:
-                return Blocked(self._table.blocked_for(names.exact, monotonic()))
+                return Blocked(self._table.blocked_for(fingerprints.exact, monotonic()))
             case SuspicionLevel.SUSPECT:
-                self._trials.add(names.content)
+                self._trials.add(fingerprints.content)
                 return Admitted(suspect=True)
-        self._trials.add(names.content)
+        self._trials.add(fingerprints.content)
         admission: Admission = Blocked(RETRY_AFTER)
         try:
-            if has_permit or names.content in self._unused_permits:
-                self._unused_permits.discard(names.content)
+            if has_permit or fingerprints.content in self._unused_permits:
+                self._unused_permits.discard(fingerprints.content)
                 admission = Admitted(suspect=True, by_permit=True)
             else:
-                admission = await self._request_permit(names.content)
+                admission = await self._request_permit(fingerprints.content)
         finally:
             if isinstance(admission, Blocked):
-                self._trials.discard(names.content)
+                self._trials.discard(fingerprints.content)
         return admission
 
-    def _is_on_trial(self, names: RequestNames) -> bool:
-        return self.standing(names) in (SuspicionLevel.SUSPECT, SuspicionLevel.DOUBTFUL)
+    def _is_on_trial(self, fingerprints: RequestFingerprints) -> bool:
+        return self.standing(fingerprints) in (
+            SuspicionLevel.SUSPECT,
+            SuspicionLevel.DOUBTFUL,
+        )
 
-    def end_trial(self, names: RequestNames, end: TrialEnd = TrialEnd.USED) -> None:
+    def end_trial(
+        self, fingerprints: RequestFingerprints, end: TrialEnd = TrialEnd.USED
+    ) -> None:
         """End a trial, so that the next copy of the request may be tried.
 
         Args:
-            names: Fingerprints of the request.
+            fingerprints: Fingerprints of the request.
             end: Outcome of the trial. An unused permit passes to the next copy.
         """
-        fingerprint = names.content
+        fingerprint = fingerprints.content
         self._trials.discard(fingerprint)
         if len(self._unused_permits) >= MAX_UNUSED_PERMITS:
             return
@@ -290,6 +297,10 @@
             }
 
 
-def _fingerprints(names: RequestNames) -> list[Fingerprint]:
+def _fingerprints(fingerprints: RequestFingerprints) -> list[Fingerprint]:
     """Return the non-empty fingerprints; hosts of another version may send none."""
-    return [fingerprint for fingerprint in (names.exact, names.content) if fingerprint]
+    return [
+        fingerprint
+        for fingerprint in (fingerprints.exact, fingerprints.content)
+        if fingerprint
+    ]
--- a/packages/node/src/bronzepoint_node/relay/_call.py
+++ b/packages/node/src/bronzepoint_node/relay/_call.py
@@ -6,7 +6,7 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.http import Exchange
 from bronzepoint_node.fleet import Organisation, ServedRoute
-from bronzepoint_node.quarantine import RequestNames
+from bronzepoint_node.quarantine import RequestFingerprints
 from bronzepoint_node.quota import Charge
 
 from ._codec import CallerHead
@@ -153,7 +153,7 @@
     notes: list[str] = field(default_factory=list)
     staleness_ms: list[int] = field(default_factory=list)
     prior_wait: float = 0.0
-    fingerprints: RequestNames = RequestNames()
+    fingerprints: RequestFingerprints = RequestFingerprints()
     suspect: bool = False
     has_permit: bool = False
     organisation: Organisation | None = None
--- a/packages/node/src/bronzepoint_node/relay/_request_intake.py
+++ b/packages/node/src/bronzepoint_node/relay/_request_intake.py
@@ -7,7 +7,7 @@
 from bronzepoint_common.lag import Lag
 from bronzepoint_node.fleet import Follower, ServedCatalogue, ServedRoute
 from bronzepoint_node.placement import RejectReason
-from bronzepoint_node.quarantine import RequestNames, name_request
+from bronzepoint_node.quarantine import RequestFingerprints, fingerprint_request
 from bronzepoint_node.quota import OverQuota, Quotas
 
 from ._answer_writer import AnswerWriter
@@ -214,13 +214,13 @@
     return head.deadline if head.deadline is not None else DEFAULT_DEADLINE
 
 
-def _fingerprints(call: Call) -> RequestNames:
+def _fingerprints(call: Call) -> RequestFingerprints:
     request = call.exchange.request
     if call.forwarded:
-        return RequestNames.parse(request.headers.get(FINGERPRINT_HEADER, ""))
+        return RequestFingerprints.parse(request.headers.get(FINGERPRINT_HEADER, ""))
     # The key distinguishes callers that share an address.
     caller = call.exchange.peer.rpartition(":")[0] + (call.head.key or "")
-    return name_request(call.head.host, request.raw_path, caller, call.body)
+    return fingerprint_request(call.head.host, request.raw_path, caller, call.body)
 
 
 def _parse_count(text: str) -> int:
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -11,7 +11,7 @@
 from bronzepoint_common.http import BadRequest, Request
 from bronzepoint_node.fleet import RouteKind, ServedRoute, digest_key
 from bronzepoint_node.placement import PlacementRequest
-from bronzepoint_node.quarantine import name_request
+from bronzepoint_node.quarantine import fingerprint_request
 from bronzepoint_node.relay import Authenticator, CallerHead
 from bronzepoint_node.relay._authenticator import (
     Authenticated,
@@ -319,7 +319,7 @@
         """Guards against blocking a caller for crashes caused by another one with the
         same address."""
         first, second = (
-            name_request("h", "/a", f"10.0.0.1{digest_key(key)}", b"body")
+            fingerprint_request("h", "/a", f"10.0.0.1{digest_key(key)}", b"body")
             for key in (b"key-a1", b"key-b")
         )
         self.assertNotEqual(first.exact, second.exact)
@@ -327,7 +327,7 @@
     def test_one_caller_at_many_addresses_is_identified_by_content(self):
         key = digest_key(b"key-a1")
         first, second = (
-            name_request("h", "/a", f"10.0.0.{n}{key}", b"body") for n in (1, 2)
+            fingerprint_request("h", "/a", f"10.0.0.{n}{key}", b"body") for n in (1, 2)
         )
         self.assertEqual(first.content, second.content)
 
--- a/tests/test_placement_suspects.py
+++ b/tests/test_placement_suspects.py
@@ -9,7 +9,7 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.placement import LocalPlacement, NoLocalTarget
 from bronzepoint_node.placement._tracked_target import ISOLATION_TIME
-from bronzepoint_node.quarantine import RequestNames, WatchedRun
+from bronzepoint_node.quarantine import RequestFingerprints, WatchedRun
 from tests._scheduling_region import Region
 
 
@@ -20,8 +20,8 @@
     if isinstance(found, LocalPlacement):
         found.target.begin("id", request.prompt, 0, monotonic())
         if suspect:
-            names = RequestNames("q", "*q")
-            run = WatchedRun(names, monotonic(), suspect=True)
+            fingerprints = RequestFingerprints("q", "*q")
+            run = WatchedRun(fingerprints, monotonic(), suspect=True)
             found.target.trials.add(run)
             return found.target.info.incarnation, run
         return found.target.info.incarnation, None
--- a/tests/test_quarantine_admission.py
+++ b/tests/test_quarantine_admission.py
@@ -20,7 +20,7 @@
     CrashRecord,
     CrashTable,
     Quarantine,
-    RequestNames,
+    RequestFingerprints,
     SuspicionLevel,
     TrialEnd,
     WatchedRun,
@@ -55,7 +55,7 @@
         return self.reply
 
 
-Q = RequestNames("q", "*q")
+Q = RequestFingerprints("q", "*q")
 
 
 def add_crashes(table, name, crashes, alone=False):
@@ -70,8 +70,10 @@
 
 def failed_run(name, suspect=False):
     now = monotonic()
-    names = RequestNames(name, f"*{name}")
-    return WatchedRun(names, now - 0.1, ended_at=now, suspect=suspect, quiet=suspect)
+    fingerprints = RequestFingerprints(name, f"*{name}")
+    return WatchedRun(
+        fingerprints, now - 0.1, ended_at=now, suspect=suspect, quiet=suspect
+    )
 
 
 def make_quarantine(reply=None, core=("c1", "c2", "c3")):
@@ -109,10 +111,10 @@
         quarantine, table, _ = make_quarantine(TrialReply(False, 60_000))
         for number in range(callers):
             run = failed_run("q")
-            run.names = RequestNames(f"q{number}", "*q")
+            run.fingerprints = RequestFingerprints(f"q{number}", "*q")
             quarantine.note_crash(Crash(target(f"t{number}"), monotonic(), [run]))
-        names = RequestNames("q of another", "*q")
-        admission = curio.run(quarantine.admit, names, monotonic())
+        fingerprints = RequestFingerprints("q of another", "*q")
+        admission = curio.run(quarantine.admit, fingerprints, monotonic())
         if expected is Blocked:
             self.assertIsInstance(admission, Blocked)
         else:
@@ -120,7 +122,7 @@
 
     def test_ordinary_request_needs_no_permit(self):
         quarantine, _, links = make_quarantine()
-        curio.run(quarantine.admit, RequestNames("a", "*a"), monotonic())
+        curio.run(quarantine.admit, RequestFingerprints("a", "*a"), monotonic())
         self.assertEqual(links.calls, [])
 
     def test_all_hosts_request_a_permit_from_the_same_host(self):
--- a/tests/test_quarantine_crash_watch.py
+++ b/tests/test_quarantine_crash_watch.py
@@ -6,7 +6,11 @@
 from nose2.tools import params
 
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.quarantine import CrashDetector, RequestNames, name_request
+from bronzepoint_node.quarantine import (
+    CrashDetector,
+    RequestFingerprints,
+    fingerprint_request,
+)
 from bronzepoint_schema.generated.fleet import TargetInfo
 
 
@@ -28,11 +32,11 @@
     def note_crash(self, crash):
         self.crashes.append(crash)
 
-    def note_survived(self, names):
-        self.survived.append(names.exact)
+    def note_survived(self, fingerprints):
+        self.survived.append(fingerprints.exact)
 
-    def record_answered(self, names):
-        self.answered.append(names.exact)
+    def record_answered(self, fingerprints):
+        self.answered.append(fingerprints.exact)
 
     async def _is_refused(self, address):
         self.checks += 1
@@ -40,13 +44,13 @@
         return self.refused
 
     def begin(self, name, info, event=False):
-        run = self.crash_detector.begin(info, RequestNames(name, f"*{name}"))
+        run = self.crash_detector.begin(info, RequestFingerprints(name, f"*{name}"))
         if event:
             self.crash_detector.record_event(info, run)
         return run
 
     def reported(self):
-        return [sorted(run.names.exact for run in c.runs) for c in self.crashes]
+        return [sorted(run.fingerprints.exact for run in c.runs) for c in self.crashes]
 
 
 class TestFingerprint(unittest.TestCase):
@@ -61,19 +65,22 @@
         ("h/", "a/b?c=1", *BASE[2:]),
     )
     def test_each_part_counts(self, *other):
-        names, others = name_request(*self.BASE), name_request(*other)
-        self.assertEqual(names, name_request(*self.BASE))
-        self.assertNotEqual(names.exact, others.exact)
+        fingerprints, others = (
+            fingerprint_request(*self.BASE),
+            fingerprint_request(*other),
+        )
+        self.assertEqual(fingerprints, fingerprint_request(*self.BASE))
+        self.assertNotEqual(fingerprints.exact, others.exact)
         same_caller = self.BASE[2] == other[2]
-        self.assertEqual(names.content == others.content, not same_caller)
+        self.assertEqual(fingerprints.content == others.content, not same_caller)
 
     def test_text_form_holds_both_fingerprints(self):
-        names = name_request(*self.BASE)
-        self.assertEqual(RequestNames.parse(str(names)), names)
+        fingerprints = fingerprint_request(*self.BASE)
+        self.assertEqual(RequestFingerprints.parse(str(fingerprints)), fingerprints)
 
     @params("", "x", "x y", "* *", f"{'0' * 32} x")
     def test_invalid_text_gives_empty_fingerprints(self, text):
-        self.assertEqual(RequestNames.parse(text), RequestNames())
+        self.assertEqual(RequestFingerprints.parse(text), RequestFingerprints())
 
 
 class TestCrashDetector(unittest.TestCase):
@@ -189,8 +196,10 @@
     def test_suspect_counts_as_alone(self, quiet, overlapped, alone):
         """Guards against blaming a suspect for another run that began with it."""
         recorder = Recorder()
-        names = RequestNames("q", "*q")
-        run = recorder.crash_detector.begin(target(), names, suspect=True, quiet=quiet)
+        fingerprints = RequestFingerprints("q", "*q")
+        run = recorder.crash_detector.begin(
+            target(), fingerprints, suspect=True, quiet=quiet
+        )
         if overlapped:
             recorder.begin("a", target())
         recorder.crash_detector.record_failure(target(), run)
