--- a/packages/node/src/bronzepoint_node/fleet/__init__.py
+++ b/packages/node/src/bronzepoint_node/fleet/__init__.py
@@ -1,6 +1,5 @@
 """State shared by the hosts of a seeded system: hosts, catalogue, targets and loads."""
 
-from ._follower import MAX_CRASH_CASES, Follower
 from ._nearest_core import nearest_core
 from ._organisation import Organisation, Quota, digest_key, shown_digest
 from ._registry import (
@@ -19,6 +18,7 @@
     ServedService,
     ServiceShare,
 )
+from ._sync_client import MAX_CRASH_CASES, SyncClient
 
 __all__ = [
     "COLLECTOR_ORDER",
@@ -28,7 +28,7 @@
     "MAX_CRASH_CASES",
     "CallerLimits",
     "EngineFacts",
-    "Follower",
+    "SyncClient",
     "Organisation",
     "Quota",
     "Registry",
--- a/packages/node/src/bronzepoint_node/fleet/_follower.py
+++ b/packages/node/src/bronzepoint_node/fleet/_sync_client.py
@@ -59,7 +59,7 @@
 _log = get_logger("follower")
 
 
-class Follower:
+class SyncClient:
     """Syncs an entry host with the core, preferably with core hosts of its region.
 
     Args:
@@ -133,7 +133,7 @@
         """Return the seconds since the catalogue was last confirmed as the newest."""
         return monotonic() - self._confirmed_at
 
-    async def tell_now(self) -> None:
+    async def report_now(self) -> None:
         """Sync at once to report a change of this host, such as leaving."""
         await self._query(self._select_core_host())
 
--- a/packages/node/src/bronzepoint_node/relay/_answer_writer.py
+++ b/packages/node/src/bronzepoint_node/relay/_answer_writer.py
@@ -4,7 +4,7 @@
 from bronzepoint_common.http import Exchange
 from bronzepoint_common.logs import get_logger
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.fleet import Follower, shown_digest
+from bronzepoint_node.fleet import SyncClient, shown_digest
 from bronzepoint_node.placement import Rejected, RejectReason
 
 from ._authenticator import Authentication, UnknownKey
@@ -25,12 +25,12 @@
     """Sends final answers; a refusal guarantees that the request did not run.
 
     Args:
-        follower: Source of the age of the target list.
+        sync_client: Source of the age of the target list.
         metrics: Counters.
     """
 
-    def __init__(self, follower: Follower, metrics: Metrics) -> None:
-        self._follower = follower
+    def __init__(self, sync_client: SyncClient, metrics: Metrics) -> None:
+        self._sync_client = sync_client
         self._metrics = metrics
 
     async def give_up(self, call: Call, outcome: TryOutcome | None) -> None:
@@ -209,7 +209,7 @@
             max_gap=call.route.max_gap,
             rank=call.priority,
             left=round(call.time_left, 3),
-            list_age=round(now - self._follower.targets_read_at, 2),
+            list_age=round(now - self._sync_client.targets_read_at, 2),
         )
 
 
--- a/packages/node/src/bronzepoint_node/relay/_authenticator.py
+++ b/packages/node/src/bronzepoint_node/relay/_authenticator.py
@@ -10,10 +10,10 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import (
-    Follower,
     Organisation,
     ServedCatalogue,
     ServedRoute,
+    SyncClient,
 )
 from bronzepoint_schema.ids import OrganisationName
 
@@ -63,12 +63,12 @@
     """Authenticates callers by API key, and forwarded requests by signature.
 
     Args:
-        follower: Source of the current catalogue.
+        sync_client: Source of the current catalogue.
         secret: Key shared by all hosts, which signs organisation headers.
     """
 
-    def __init__(self, follower: Follower, secret: bytes) -> None:
-        self._follower = follower
+    def __init__(self, sync_client: SyncClient, secret: bytes) -> None:
+        self._sync_client = sync_client
         self._secret = secret
 
     async def authenticate(
@@ -98,14 +98,14 @@
     async def wait_until_confirmed(self, time_left: float) -> bool:
         """Wait until the catalogue is confirmed as current; False: not in time.
 
-        Sends nothing: the follower polls the core continuously, so any number of
+        Sends nothing: the sync client polls the core continuously, so any number of
         unknown keys and routes causes no extra requests to it.
 
         Args:
             time_left: Seconds until the request's deadline.
         """
         until = monotonic() + min(CONFIRM_WAIT, CONFIRM_WAIT_SHARE * time_left)
-        while self._follower.confirmed_age() > CONFIRMED_WITHIN:
+        while self._sync_client.confirmed_age() > CONFIRMED_WITHIN:
             if monotonic() >= until:
                 return False
             await curio.sleep(CONFIRM_STEP)
@@ -117,7 +117,7 @@
         """Look up a key again once the catalogue is confirmed as current."""
         if not await self.wait_until_confirmed(time_left):
             return UnconfirmedKey()
-        found = self._follower.catalogue.keys.get(head.key)
+        found = self._sync_client.catalogue.keys.get(head.key)
         return Authenticated(found) if found is not None else UnknownKey()
 
     def authenticate_forwarded(
@@ -158,7 +158,7 @@
         A key may be revoked or moved to another organisation while its request waits.
         Updates the request's organisation and catalogue version.
         """
-        catalogue = self._follower.catalogue
+        catalogue = self._sync_client.catalogue
         if catalogue is None or catalogue.version <= call.version:
             return True
         call.version = catalogue.version
--- a/packages/node/src/bronzepoint_node/relay/_request_intake.py
+++ b/packages/node/src/bronzepoint_node/relay/_request_intake.py
@@ -5,7 +5,7 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.http import BadRequest, Exchange
 from bronzepoint_common.lag import Lag
-from bronzepoint_node.fleet import Follower, ServedCatalogue, ServedRoute
+from bronzepoint_node.fleet import ServedCatalogue, ServedRoute, SyncClient
 from bronzepoint_node.placement import RejectReason
 from bronzepoint_node.quarantine import RequestFingerprints, fingerprint_request
 from bronzepoint_node.quota import OverQuota, Quotas
@@ -42,7 +42,7 @@
     """Reads new requests, and refuses those that can't be served.
 
     Args:
-        follower: Source of the current catalogue.
+        sync_client: Source of the current catalogue.
         authenticator: Authenticates callers.
         quotas: Quotas of the organisations.
         answer_writer: Sends final answers.
@@ -52,14 +52,14 @@
 
     def __init__(
         self,
-        follower: Follower,
+        sync_client: SyncClient,
         authenticator: Authenticator,
         quotas: Quotas,
         answer_writer: AnswerWriter,
         codec: Codec,
         lag: Lag,
     ) -> None:
-        self._follower = follower
+        self._sync_client = sync_client
         self._authenticator = authenticator
         self._quotas = quotas
         self._answer_writer = answer_writer
@@ -96,7 +96,7 @@
         if self._lag.seconds > LAG_SHARE * route.objective:
             await self._answer_writer.shed(exchange, head)
             return None
-        catalogue = self._follower.catalogue
+        catalogue = self._sync_client.catalogue
         authentication = await self._authenticate(
             exchange, head, route, catalogue, forwarded
         )
@@ -118,12 +118,12 @@
     ) -> ServedRoute | None:
         """Return the route of a request; None: it has been refused."""
         path = exchange.request.raw_path.partition("?")[0]
-        route = self._follower.catalogue.find_route(head.host, path)
+        route = self._sync_client.catalogue.find_route(head.host, path)
         if route is not None:
             return route
         # A newer version may have added it.
         is_confirmed = await self._authenticator.wait_until_confirmed(_deadline(head))
-        catalogue = self._follower.catalogue
+        catalogue = self._sync_client.catalogue
         route = catalogue.find_route(head.host, path)
         if route is None:
             await exchange.body()
@@ -161,11 +161,11 @@
         at the same moment.
         """
         until = monotonic() + min(START_WAIT, START_WAIT_SHARE * _deadline(head))
-        while self._follower.catalogue is None or self._follower.targets is None:
+        while self._sync_client.catalogue is None or self._sync_client.targets is None:
             if monotonic() >= until or self._leaving:
                 break
             await curio.sleep(WAIT_STEP)
-        return self._follower.catalogue
+        return self._sync_client.catalogue
 
     async def _authenticate(
         self,
--- a/tests/test_fleet_knowledge.py
+++ b/tests/test_fleet_knowledge.py
@@ -12,9 +12,9 @@
 from bronzepoint_common.peers import PeerTimeout
 from bronzepoint_node.fleet import (
     CallerLimits,
-    Follower,
     Registry,
     ServedCatalogue,
+    SyncClient,
 )
 from bronzepoint_node.fleet import _registry as registry_module
 from bronzepoint_schema.generated.documents import DocumentPart
@@ -144,11 +144,11 @@
 
 def make_client(answers=(), seeds=("c1",)):
     peers = FakePeers(dict(answers))
-    client = Follower("r", lambda: entry("h"), list, decode, list(seeds), peers)
+    client = SyncClient("r", lambda: entry("h"), list, decode, list(seeds), peers)
     return client, peers
 
 
-class TestFollower(unittest.TestCase):
+class TestSyncClient(unittest.TestCase):
     @params(
         ([make_reply(1), make_reply(2)], 2),
         ([make_reply(2), make_reply(1)], 2),
--- a/tests/test_fleet_large_catalogue.py
+++ b/tests/test_fleet_large_catalogue.py
@@ -13,7 +13,7 @@
 import curio
 
 from bronzepoint_node.core import CoreHub, TargetReader
-from bronzepoint_node.fleet import Follower, _follower, _registry
+from bronzepoint_node.fleet import SyncClient, _registry, _sync_client
 from bronzepoint_platform._manifest import read_manifest
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState
 from tests._large_manifest import large_manifest
@@ -59,7 +59,7 @@
         self.link.answer_with(CoreHub("a1", "a", *core)._handle)
         self.held = {}
         self._operator = operator
-        self._client = Follower(
+        self._client = SyncClient(
             "a", lambda: ENTRY, list, read_manifest, ["a1"], self.link
         )
 
@@ -70,15 +70,15 @@
             began = link.now()
             answered = await client._query(client._select_core_host())
             self._record_version()
-            pause = _follower.SYNC_INTERVAL / (1 if answered else 4)
+            pause = _sync_client.SYNC_INTERVAL / (1 if answered else 4)
             link.pass_time(max(0.05, pause - (link.now() - began)))
 
     async def run_as_started(self, until):
         """Sync at the interval of a host that has just been started."""
         while self.link.now() < until:
-            await self._client._query("a1", _follower.SEED_SYNC_TIMEOUT)
+            await self._client._query("a1", _sync_client.SEED_SYNC_TIMEOUT)
             self._record_version()
-            self.link.pass_time(_follower.SEED_SYNC_INTERVAL)
+            self.link.pass_time(_sync_client.SEED_SYNC_INTERVAL)
 
     def _record_version(self):
         version = self._client.catalogue.version if self._client.catalogue else -1
@@ -95,7 +95,7 @@
         operator = Operator(cluster, changes)
         host = SimulatedEntryHost(cluster, operator)
         with (
-            mock.patch.object(_follower, "monotonic", host.link.now),
+            mock.patch.object(_sync_client, "monotonic", host.link.now),
             mock.patch.object(_registry, "monotonic", host.link.now),
         ):
             yield host, operator
--- a/tests/test_fleet_late_answers.py
+++ b/tests/test_fleet_late_answers.py
@@ -7,8 +7,8 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import Area, Peers
 from bronzepoint_node.core import CoreHub, TargetReader
-from bronzepoint_node.fleet import Follower
-from bronzepoint_node.fleet._follower import SEED_SYNC_TIMEOUT, SYNC_TIMEOUT
+from bronzepoint_node.fleet import SyncClient
+from bronzepoint_node.fleet._sync_client import SEED_SYNC_TIMEOUT, SYNC_TIMEOUT
 from bronzepoint_platform._manifest import read_manifest
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState, FleetMessage
 from tests._addresses import free_address
@@ -55,19 +55,19 @@
         core, core_address = make_peers("a1")
         host, host_address = make_peers("h")
         core.register(Area.FLEET, FleetMessage, answer)
-        follower = Follower("a", lambda: ENTRY, list, read_manifest, ["a1"], host)
+        sync_client = SyncClient("a", lambda: ENTRY, list, read_manifest, ["a1"], host)
         await core.start()
         host.set_address("a1", core_address)
         core.set_address("h", host_address)
         await host.start()
-        await follower.start()
+        await sync_client.start()
         async with curio.ignore_after(MAX_WAIT):
-            while follower.catalogue is None:
+            while sync_client.catalogue is None:
                 await curio.sleep(0.05)
-        await follower.close()
+        await sync_client.close()
         await host.close()
         await core.close()
-        return follower.catalogue.version if follower.catalogue else None
+        return sync_client.catalogue.version if sync_client.catalogue else None
 
 
 if __name__ == "__main__":
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -54,7 +54,7 @@
     return CallerHead("id", "h", 4.0, None, None, {}, digest)
 
 
-class Follower:
+class SyncClient:
     """A catalogue, and the seconds since it was confirmed as current."""
 
     def __init__(self, catalogue, age=0.1):
@@ -90,7 +90,7 @@
     def test_key_identifies_its_organisation(self, key, name):
         catalogue = read()
         result = authenticate(
-            Authenticator(Follower(catalogue), SECRET), head(key), ROUTE, catalogue, 4
+            Authenticator(SyncClient(catalogue), SECRET), head(key), ROUTE, catalogue, 4
         )
         if name is None:
             self.assertEqual(result, UnknownKey())
@@ -100,14 +100,14 @@
     def test_catalogue_without_organisations_requires_no_key(self):
         catalogue = read_manifest(json.dumps(manifest(1)).encode())
         result = authenticate(
-            Authenticator(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
+            Authenticator(SyncClient(catalogue), SECRET), head(), ROUTE, catalogue, 4
         )
         self.assertEqual(result, Authenticated(None))
 
     def test_catalogue_with_no_organisation_left_admits_no_caller(self):
         catalogue = read(1, {})
         result = authenticate(
-            Authenticator(Follower(catalogue), SECRET), head(), ROUTE, catalogue, 4
+            Authenticator(SyncClient(catalogue), SECRET), head(), ROUTE, catalogue, 4
         )
         self.assertEqual(result, UnknownKey())
 
@@ -118,14 +118,14 @@
             "r", "h", "/", RouteKind.IDEMPOTENT, 4.0, 1.0, 2, (), 2, is_open=True
         )
         result = authenticate(
-            Authenticator(Follower(catalogue), SECRET), head(key), route, catalogue, 4
+            Authenticator(SyncClient(catalogue), SECRET), head(key), route, catalogue, 4
         )
         self.assertEqual(result.organisation and result.organisation.name, name)
 
     def test_lagging_host_does_not_reject_a_key_as_unknown(self):
         """Guards against 401 for a key that a newer version has added."""
         catalogue = read()
-        authenticator = Authenticator(Follower(catalogue, age=9.0), SECRET)
+        authenticator = Authenticator(SyncClient(catalogue, age=9.0), SECRET)
         self.assertEqual(
             authenticate(authenticator, head("key-new"), ROUTE, catalogue, 0.4),
             UnconfirmedKey(),
@@ -133,20 +133,20 @@
 
     def test_key_of_a_version_that_arrives_meanwhile_is_known(self):
         """Guards against 401 if the newer version arrives within the wait."""
-        follower = Follower(read(), age=9.0)
-        authenticator = Authenticator(follower, SECRET)
+        sync_client = SyncClient(read(), age=9.0)
+        authenticator = Authenticator(sync_client, SECRET)
 
         async def main():
             task = await curio.spawn(
                 authenticator.authenticate,
                 head("key-new"),
                 ROUTE,
-                follower.catalogue,
+                sync_client.catalogue,
                 8.0,
             )
             await curio.sleep(0.05)
-            follower.catalogue = read(2, {"acme": ["key-new"]})
-            follower.age = 0.0
+            sync_client.catalogue = read(2, {"acme": ["key-new"]})
+            sync_client.age = 0.0
             return await task.join()
 
         self.assertEqual(curio.run(main).organisation.name, "acme")
@@ -166,7 +166,7 @@
         """Guards against running a request whose key was revoked while it waited."""
         before = read()
         waiting_call = call(head("key-a1"), before.organisations["acme"], 1)
-        authenticator = Authenticator(Follower(read(2, keys)), SECRET)
+        authenticator = Authenticator(SyncClient(read(2, keys)), SECRET)
         self.assertEqual(authenticator.still_admits(waiting_call), admitted)
         result = waiting_call.organisation
         self.assertEqual(result.name if result is not None else None, name)
@@ -175,20 +175,20 @@
     def test_forwarded_request_is_checked_by_its_organisation(self, keys, admitted):
         before = read()
         waiting_call = call(head(), before.organisations["acme"], 1, forwarded=True)
-        authenticator = Authenticator(Follower(read(2, keys)), SECRET)
+        authenticator = Authenticator(SyncClient(read(2, keys)), SECRET)
         self.assertEqual(authenticator.still_admits(waiting_call), admitted)
 
 
 class TestForwardedRequests(unittest.TestCase):
     def signed_headers(self, version=1):
-        sender = Authenticator(Follower(read()), SECRET)
+        sender = Authenticator(SyncClient(read()), SECRET)
         return sender.organisation_header(
             call(head("key-a1"), read().organisations["acme"], version)
         )
 
     def test_signed_header_of_another_host_is_accepted(self):
         catalogue = read()
-        authenticator = Authenticator(Follower(catalogue), SECRET)
+        authenticator = Authenticator(SyncClient(catalogue), SECRET)
         result = authenticator.authenticate_forwarded(
             head(), ROUTE, catalogue, self.signed_headers()
         )
@@ -197,7 +197,7 @@
     @params("acme 1 0123", "acme 1", "", "bolt 1 " + "0" * 32)
     def test_header_without_a_valid_signature_is_rejected(self, text):
         catalogue = read()
-        authenticator = Authenticator(Follower(catalogue), SECRET)
+        authenticator = Authenticator(SyncClient(catalogue), SECRET)
         headers = {ORGANISATION_HEADER: text}
         result = authenticator.authenticate_forwarded(head(), ROUTE, catalogue, headers)
         self.assertEqual(result, UnknownKey())
@@ -207,7 +207,7 @@
         """Guards against a host with an outdated catalogue that refuses requests which
         a host with a newer one forwards."""
         catalogue = read(1, {"bolt": ["key-b"]})
-        authenticator = Authenticator(Follower(catalogue), SECRET)
+        authenticator = Authenticator(SyncClient(catalogue), SECRET)
         headers = self.signed_headers(version)
         result = authenticator.authenticate_forwarded(head(), ROUTE, catalogue, headers)
         self.assertEqual(isinstance(result, Authenticated), admitted)
--- a/tests/test_relay_deadline.py
+++ b/tests/test_relay_deadline.py
@@ -24,7 +24,7 @@
         self.answer = status, headers
 
 
-class FakeFollower:
+class FakeSyncClient:
     targets_read_at = 0.0
 
 
@@ -54,7 +54,7 @@
         have run.
         """
         call = late_call(written, runs, sends)
-        curio.run(AnswerWriter(FakeFollower(), Metrics()).answer_late, call)
+        curio.run(AnswerWriter(FakeSyncClient(), Metrics()).answer_late, call)
         found, headers = call.exchange.answer
         self.assertEqual(found, status)
         self.assertEqual("Retry-After" in headers, status == 503)
@@ -74,7 +74,7 @@
         call = late_call(False, reported + since, 0)
         call.forwarded, call.reported_runs = True, reported
         rejected = Rejected(RejectReason.NO_ROOM, 0.5)
-        curio.run(AnswerWriter(FakeFollower(), Metrics()).reject, call, rejected)
+        curio.run(AnswerWriter(FakeSyncClient(), Metrics()).reject, call, rejected)
         found, headers = call.exchange.answer
         self.assertEqual(found, status)
         self.assertEqual(headers.get(RAN_HEADER) == "no", guaranteed)
@@ -88,7 +88,7 @@
         self, reason, status, has_retry_after
     ):
         call = late_call(False, 0, 0)
-        answer_writer = AnswerWriter(FakeFollower(), Metrics())
+        answer_writer = AnswerWriter(FakeSyncClient(), Metrics())
         curio.run(answer_writer.refuse, call.exchange, call.head, reason, 0.5)
         found, headers = call.exchange.answer
         self.assertEqual((found, "Retry-After" in headers), (status, has_retry_after))
--- a/tests/test_relay_request_intake.py
+++ b/tests/test_relay_request_intake.py
@@ -20,7 +20,7 @@
 """Deadline of the requests in milliseconds, as the header specifies it."""
 
 
-class Follower:
+class SyncClient:
     """A catalogue, and the seconds since it was confirmed as current."""
 
     targets = ()
@@ -58,23 +58,28 @@
         self.answer = status
 
 
-def receive(follower, path, meanwhile=None, lag=0.0):
+def receive(sync_client, path, meanwhile=None, lag=0.0):
     """Return the status of a refusal, and whether the request is to be served.
 
     Args:
-        follower: Source of the catalogue.
+        sync_client: Source of the catalogue.
         path: Path of the request.
         meanwhile: Called while the request is being processed.
         lag: Lag of the host's event loop, in seconds.
     """
 
     async def main():
-        authenticator = Authenticator(follower, b"secret")
-        answer_writer = AnswerWriter(follower, Metrics())
+        authenticator = Authenticator(sync_client, b"secret")
+        answer_writer = AnswerWriter(sync_client, Metrics())
         loop_lag = Lag()
         loop_lag.seconds = lag
         request_intake = RequestIntake(
-            follower, authenticator, Quotas(), answer_writer, PlatformCodec(), loop_lag
+            sync_client,
+            authenticator,
+            Quotas(),
+            answer_writer,
+            PlatformCodec(),
+            loop_lag,
         )
         exchange = Exchange(path)
         task = await curio.spawn(request_intake.receive, exchange, False)
@@ -102,18 +107,18 @@
     )
     def test_404_only_with_a_confirmed_catalogue(self, age, path, status, served):
         """Guards against 404 for a route that a newer version has added."""
-        self.assertEqual(receive(Follower(age), path), (status, served))
+        self.assertEqual(receive(SyncClient(age), path), (status, served))
 
     def test_route_of_a_version_that_arrives_meanwhile_is_served(self):
-        follower = Follower(OUTDATED)
+        sync_client = SyncClient(OUTDATED)
 
         def arrive():
             newer = manifest(2)
             newer["routes"][0]["path_prefix"] = "/new/"
-            follower.catalogue = read_manifest(json.dumps(newer).encode())
-            follower.age = CONFIRMED
+            sync_client.catalogue = read_manifest(json.dumps(newer).encode())
+            sync_client.age = CONFIRMED
 
-        self.assertEqual(receive(follower, "/new/a", arrive), (None, True))
+        self.assertEqual(receive(sync_client, "/new/a", arrive), (None, True))
 
 
 class TestLaggingHost(unittest.TestCase):
@@ -124,7 +129,7 @@
     ):
         """Guards against a lagging host that accepts requests and answers them only
         after their callers have given up."""
-        found = receive(Follower(CONFIRMED), "/safe/a", lag=lag)
+        found = receive(SyncClient(CONFIRMED), "/safe/a", lag=lag)
         self.assertEqual(found, (status, served))
 
 
