--- a/packages/node/src/bronzepoint_node/core/_core_hub.py
+++ b/packages/node/src/bronzepoint_node/core/_core_hub.py
@@ -92,7 +92,7 @@
 
     def tell_loads(self, loads: list[RegionLoad]) -> None:
         """Send this region's load to the other regions, which forward accordingly."""
-        self.registry.hear_loads(loads)
+        self.registry.merge_loads(loads)
         notice = CoreNotice([], loads, [], [])
         remote_hosts: dict[RegionName, list[HostName]] = {}
         for host in self.registry.core():
@@ -110,16 +110,16 @@
             case SyncRequest():
                 return self._answer(message)
             case CoreNotice():
-                self.registry.hear_entries(message.hosts)
-                self.registry.hear_loads(message.loads)
-                self.registry.hear_core(message.core)
+                self.registry.merge_entries(message.hosts)
+                self.registry.merge_loads(message.loads)
+                self.registry.merge_core(message.core)
                 self._crashes.merge(message.crashes, monotonic())
         return None
 
     def _answer(self, request: SyncRequest) -> SyncReply:
         self._syncing_hosts.add(request.host.name)
-        self.registry.hear_entries([request.host])
-        self.registry.hear_loads(request.loads)
+        self.registry.merge_entries([request.host])
+        self.registry.merge_loads(request.loads)
         now = monotonic()
         self._crashes.merge(request.crashes, now)
         age = self._agreement.confirmed_age()
@@ -158,7 +158,7 @@
         )
 
     def _core(self) -> list[CoreHost]:
-        self.registry.hear_core([CoreHost(self._name, self._region, 0)])
+        self.registry.merge_core([CoreHost(self._name, self._region, 0)])
         return self.registry.core()
 
     async def _send_notices(self) -> None:
--- a/packages/node/src/bronzepoint_node/fleet/_registry.py
+++ b/packages/node/src/bronzepoint_node/fleet/_registry.py
@@ -94,12 +94,12 @@
         )
         self._sizes: dict[RegionName, int] = {}
 
-    def hear_entries(self, hosts: Iterable[EntryHost]) -> None:
+    def merge_entries(self, hosts: Iterable[EntryHost]) -> None:
         """Merge reports on entry hosts, keeping the newer ones."""
         for host in hosts:
             self._entries.merge(host.name, host)
 
-    def hear_core(self, hosts: Iterable[CoreHost]) -> None:
+    def merge_core(self, hosts: Iterable[CoreHost]) -> None:
         """Merge reports on core hosts, keeping the newer ones and known regions."""
         for host in hosts:
             stored = self._core.get(host.name)
@@ -107,7 +107,7 @@
                 host = msgspec.structs.replace(host, region=stored.region)
             self._core.merge(host.name, host)
 
-    def hear_loads(self, loads: Iterable[RegionLoad]) -> None:
+    def merge_loads(self, loads: Iterable[RegionLoad]) -> None:
         """Merge reports on loads, keeping the newer ones."""
         for load in loads:
             self._loads.merge((load.region, load.service), load)
--- a/packages/node/src/bronzepoint_node/fleet/_sync_client.py
+++ b/packages/node/src/bronzepoint_node/fleet/_sync_client.py
@@ -250,11 +250,11 @@
         """
         has_more = self._apply_versioned(core, reply, began)
         self._apply_targets(reply)
-        self.registry.hear_entries(reply.hosts)
+        self.registry.merge_entries(reply.hosts)
         self.entry_hosts = reply.entry_hosts
         self.registry.note_size(self._region, reply.region_hosts)
-        self.registry.hear_core(reply.core)
-        self.registry.hear_loads(reply.loads)
+        self.registry.merge_core(reply.core)
+        self.registry.merge_loads(reply.loads)
         self.crashes.merge(reply.crashes, monotonic())
         self._notify_listeners()
         return has_more
--- a/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
@@ -209,7 +209,7 @@
 
     async def _resolve(self, answer: TargetGrant | NoTarget) -> None:
         if isinstance(answer, NoTarget):
-            self._registry.hear_loads(answer.loads)
+            self._registry.merge_loads(answer.loads)
         pending = self._pending.get(answer.number)
         if pending is not None:
             pending.answer = answer
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -141,7 +141,7 @@
             {"z": "r"},
             self,
             self.registry,
-            self.registry.hear_loads,
+            self.registry.merge_loads,
             lambda: Reading(region.infos(), 0.0),
             lambda: (region.catalogue(), frozenset()),
             _no_report,
@@ -178,7 +178,7 @@
         services = region.catalogue().services
         self.table.update(region.infos(), 0.0, services, frozenset(), monotonic())
         registry = self.registry = Registry()
-        registry.hear_entries(
+        registry.merge_entries(
             EntryHost(n, "r", "z", n, n, EntryState.ready, 0) for n in region.names
         )
         cold = ColdStartLimiter(name)
--- a/tests/test_core_notices.py
+++ b/tests/test_core_notices.py
@@ -48,7 +48,7 @@
         links = StubPeers()
         hub = CoreHub("x1", "x", None, None, links)
         cores = [CoreHost("x2", "x", 0), CoreHost("y1", "y", 0), CoreHost("z1", "z", 0)]
-        hub.registry.hear_core(cores)
+        hub.registry.merge_core(cores)
         reported = [load("x", 60)]
         hub.tell_loads(reported)
         self.assertEqual(sorted(peer for peer, *_ in links.posted), ["y1", "z1"])
@@ -61,7 +61,7 @@
         links = StubPeers()
         hub = CoreHub("x1", "x", None, None, links)
         names = [f"{region}{n}" for region in "yz" for n in range(20)]
-        hub.registry.hear_core(CoreHost(name, name[0], 0) for name in names)
+        hub.registry.merge_core(CoreHost(name, name[0], 0) for name in names)
         hub.tell_loads([load("x", 60)])
         reported = [peer for peer, *_ in links.posted]
         for region in "yz":
@@ -81,7 +81,7 @@
         for number in range(100):
             crash_records = {f"q{number}": CrashRecord(now, early=True)}
             hub._crashes.record_crash(crash_records, "s", f"t{number}", now)
-        hub.registry.hear_core(CoreHost(f"x{n}", "x", 0) for n in range(1, others + 1))
+        hub.registry.merge_core(CoreHost(f"x{n}", "x", 0) for n in range(1, others + 1))
         notice = hub._build_notice(hub._core(), others)
         self.assertEqual(len(notice.crashes), cases)
         self.assertEqual(len(notice.core), min(others + 1, MAX_HOSTS_PER_NOTICE))
@@ -90,7 +90,7 @@
     def test_each_core_host_is_listed_before_it_expires(self):
         """Guards against a host that counts as lost because others are listed."""
         hub = CoreHub("x0", "x", None, None, StubPeers())
-        hub.registry.hear_core(CoreHost(f"x{n}", "x", 0) for n in range(1, 107))
+        hub.registry.merge_core(CoreHost(f"x{n}", "x", 0) for n in range(1, 107))
         rounds = int(CORE_EXPIRY / NOTICE_INTERVAL)
         listed = [hub._build_notice(hub._core(), 106).core for _ in range(rounds)]
         self.assertEqual(len({host.name for core in listed for host in core}), 107)
@@ -105,8 +105,8 @@
             async with Region(9, 1, core=("10.1.9.1",)) as region:
                 core = region.core["10.1.9.1"]
                 (host, *others) = region.hosts.values()
-                host.registry.hear_loads([load("y", 64, age_ms=700)])
-                core.registry.hear_loads([load("y", 3, age_ms=80)])
+                host.registry.merge_loads([load("y", 64, age_ms=700)])
+                core.registry.merge_loads([load("y", 3, age_ms=80)])
                 for number in range(SLOTS):
                     await others[number % len(others)].send(str(number))
                 placement = await host.send("one too many")
--- a/tests/test_fleet_knowledge.py
+++ b/tests/test_fleet_knowledge.py
@@ -75,13 +75,13 @@
 
     @params((0, 1.7, True), (0, 1.9, False), (1000, 0.7, True), (1000, 0.9, False))
     def test_entry_host_expires_by_the_age_of_its_report(self, age, wait, live):
-        self.registry.hear_entries([entry("h", age)])
+        self.registry.merge_entries([entry("h", age)])
         self.now += wait
         self.assertEqual(bool(self.registry.entries()), live)
 
     @params((9.0, True), (11.0, False))
     def test_expired_report_is_kept_as_a_last_resort(self, wait, kept):
-        self.registry.hear_entries([entry("h")])
+        self.registry.merge_entries([entry("h")])
         self.now += wait
         self.assertEqual(self.registry.entries(), [])
         found = self.registry.entries(registry_module.LAST_RESORT)
@@ -89,37 +89,37 @@
 
     @params((0, 500, EntryState.leaving), (500, 0, READY))
     def test_newer_report_is_not_replaced_by_an_older_one(self, first, second, state):
-        self.registry.hear_entries([entry("h", first, EntryState.leaving)])
-        self.registry.hear_entries([entry("h", second)])
+        self.registry.merge_entries([entry("h", first, EntryState.leaving)])
+        self.registry.merge_entries([entry("h", second)])
         self.assertIs(self.registry.entries()[0].state, state)
 
     def test_region_of_a_core_host_is_kept(self):
         """Seeds are listed without their regions. A report without a region must not
         erase the known one."""
-        self.registry.hear_core([CoreHost("c", "r", 1000)])
-        self.registry.hear_core([CoreHost("c", "", 0)])
+        self.registry.merge_core([CoreHost("c", "r", 1000)])
+        self.registry.merge_core([CoreHost("c", "", 0)])
         self.assertEqual(self.registry.core(), [CoreHost("c", "r", 0)])
 
     def test_repeated_report_does_not_clear_the_cache(self):
         """Guards against answers of a core host that slow down with the number of entry
         hosts: each report discarded the cached list that the next answer needed."""
         for number in range(200):
-            self.registry.hear_entries([entry(f"h{number}")])
+            self.registry.merge_entries([entry(f"h{number}")])
         self.assertEqual(len(self.registry.entries()), 200)
         self.now += 0.01
         with mock.patch.object(registry_module.msgspec.structs, "replace") as replace:
             replace.side_effect = lambda report, **_: report
             for number in range(200):
-                self.registry.hear_entries([entry(f"h{number}")])
+                self.registry.merge_entries([entry(f"h{number}")])
                 self.registry.entries()
             self.assertLessEqual(replace.call_count, 2 * 200)
         self.now += 0.01
-        self.registry.hear_entries([entry("h7", state=EntryState.leaving)])
+        self.registry.merge_entries([entry("h7", state=EntryState.leaving)])
         states = {host.name: host.state for host in self.registry.entries()}
         self.assertIs(states["h7"], EntryState.leaving)
 
     def test_loads_have_their_current_age(self):
-        self.registry.hear_loads([RegionLoad("r", "s", 4, 1, 0, 200)])
+        self.registry.merge_loads([RegionLoad("r", "s", 4, 1, 0, 200)])
         self.now += 1.0
         (load,) = self.registry.loads()
         self.assertAlmostEqual(load.age_ms, 1200, delta=2)
@@ -286,7 +286,7 @@
 
         async def main():
             for _ in range(4):
-                client.registry.hear_core(core)
+                client.registry.merge_core(core)
                 await client._query(client._select_core_host())
 
         curio.run(main)
@@ -295,7 +295,7 @@
 
     def test_core_host_of_the_same_region_is_queried_first(self):
         client, _ = make_client()
-        client.registry.hear_core([CoreHost("c1", "far", 0), CoreHost("c2", "r", 0)])
+        client.registry.merge_core([CoreHost("c1", "far", 0), CoreHost("c2", "r", 0)])
         self.assertEqual({client._select_core_host() for _ in range(10)}, {"c2"})
 
 
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -69,7 +69,7 @@
         for region in "abc":
             name = f"{region}1"
             host = EntryHost(name, region, "z", name, name, EntryState.ready, 0)
-            self.registry.hear_entries([host])
+            self.registry.merge_entries([host])
         self.update(targets, closed)
         self.placer = Placer(
             "a", self.table, self.registry, ColdStartLimiter("a1"), random.Random(1)
@@ -81,7 +81,7 @@
 
     def remote_loads(self, **in_progress):
         for region, count in in_progress.items():
-            self.registry.hear_loads([RegionLoad(region, "s", 64, count, 0, 0)])
+            self.registry.merge_loads([RegionLoad(region, "s", 64, count, 0, 0)])
 
     def make_request(self, of_route=None, prompt=None, forwarded=False, tried=()):
         return PlacementRequest(
@@ -128,7 +128,7 @@
         site.remote_loads(b=0)
         for name, lags in (("b1", all_lag), ("b2", True)):
             host = EntryHost(name, "b", "z", name, name, EntryState.ready, 0, lags)
-            site.registry.hear_entries([host])
+            site.registry.merge_entries([host])
         self.assertEqual({site.place().host for _ in range(40)}, expected)
 
     def test_route_bound_to_another_region_is_forwarded(self):
@@ -177,7 +177,7 @@
         there since and have been answered, but would count as in progress.
         """
         site = Site(info("t1"), service=PLAIN, closed=("a-1",))
-        site.registry.hear_loads([RegionLoad("b", "s", 6, 0, 0, 600)])
+        site.registry.merge_loads([RegionLoad("b", "s", 6, 0, 0, 600)])
         regions = site.placer.regions
         for number in range(10):
             regions.note_forwarded("b", "s", str(number), site.now)
@@ -309,7 +309,7 @@
 
     def test_busy_cache_holder_is_not_waited_for(self):
         site = Site(info("t1"))
-        site.registry.hear_loads([RegionLoad("b", "s", 64, 10, 900, 0)])
+        site.registry.merge_loads([RegionLoad("b", "s", 64, 10, 900, 0)])
         site.remote_loads(c=0)
         placement = site.place(prompt=self.prompt_owned_by("b"))
         self.assertIsInstance(placement, LocalPlacement)
