--- a/packages/node/src/bronzepoint_node/fleet/__init__.py
+++ b/packages/node/src/bronzepoint_node/fleet/__init__.py
@@ -5,8 +5,8 @@
 from ._registry import (
     COLLECTOR_ORDER,
     ENTRY_EXPIRY,
-    LAST_RESORT,
     LOAD_EXPIRY,
+    MAX_REPORT_AGE,
     Registry,
 )
 from ._served import (
@@ -23,7 +23,7 @@
 __all__ = [
     "COLLECTOR_ORDER",
     "ENTRY_EXPIRY",
-    "LAST_RESORT",
+    "MAX_REPORT_AGE",
     "LOAD_EXPIRY",
     "MAX_CRASH_CASES",
     "CallerLimits",
--- a/packages/node/src/bronzepoint_node/fleet/_registry.py
+++ b/packages/node/src/bronzepoint_node/fleet/_registry.py
@@ -24,7 +24,7 @@
 RESULT_CACHE_TIME = 0.05
 """Seconds for which query results are cached, as each request makes several queries.
 Returned ages may be wrong by this much."""
-LAST_RESORT = 10.0
+MAX_REPORT_AGE = 10.0
 """Seconds for which reports are kept, longer than they count as current. If nothing
 newer is known, using an old report is better than refusing a request."""
 
@@ -65,7 +65,7 @@
 
     def _collect(self, expiry: float, now: float) -> list[Word]:
         for key, (at, _) in list(self._reports.items()):
-            if now - at > LAST_RESORT:
+            if now - at > MAX_REPORT_AGE:
                 del self._reports[key]
         return [
             msgspec.structs.replace(report, age_ms=max(0, int((now - at) * 1000)))
--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -6,8 +6,8 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import (
     ENTRY_EXPIRY,
-    LAST_RESORT,
     LOAD_EXPIRY,
+    MAX_REPORT_AGE,
     Registry,
 )
 from bronzepoint_node.policy import (
@@ -94,7 +94,7 @@
         # Without recent data, as in a network partition of the core, older data is
         # better than none.
         estimates = fresh_estimates or self._region_estimates(
-            request, service, request_view, LAST_RESORT, now
+            request, service, request_view, MAX_REPORT_AGE, now
         )
         if not estimates:
             return None
@@ -242,7 +242,7 @@
     def _eligible_hosts(
         self, region: RegionName, request: PlacementRequest
     ) -> list[EntryHost]:
-        hosts = self.entry_hosts(region) or self.entry_hosts(region, LAST_RESORT)
+        hosts = self.entry_hosts(region) or self.entry_hosts(region, MAX_REPORT_AGE)
         now = monotonic()
         eligible = [
             host
--- a/tests/test_fleet_knowledge.py
+++ b/tests/test_fleet_knowledge.py
@@ -84,7 +84,7 @@
         self.registry.merge_entries([entry("h")])
         self.now += wait
         self.assertEqual(self.registry.entries(), [])
-        found = self.registry.entries(registry_module.LAST_RESORT)
+        found = self.registry.entries(registry_module.MAX_REPORT_AGE)
         self.assertEqual(bool(found), kept)
 
     @params((0, 500, EntryState.leaving), (500, 0, READY))
