--- a/packages/node/src/bronzepoint_node/fleet/__init__.py
+++ b/packages/node/src/bronzepoint_node/fleet/__init__.py
@@ -11,7 +11,7 @@
 )
 from ._served import (
     CallerLimits,
-    EngineFacts,
+    EngineProperties,
     RouteKind,
     ServedCatalogue,
     ServedRoute,
@@ -27,7 +27,7 @@
     "LOAD_EXPIRY",
     "MAX_CRASH_CASES",
     "CallerLimits",
-    "EngineFacts",
+    "EngineProperties",
     "SyncClient",
     "Organisation",
     "Quota",
--- a/packages/node/src/bronzepoint_node/fleet/_served.py
+++ b/packages/node/src/bronzepoint_node/fleet/_served.py
@@ -69,7 +69,7 @@
         )
 
 
-class EngineFacts(Struct, frozen=True):
+class EngineProperties(Struct, frozen=True):
     """Configured properties of the engines of a service.
 
     Attributes:
@@ -117,7 +117,7 @@
     max_connections: int
     cold_time: float = 0.0
     cold_rate: float = 0.0
-    engine: EngineFacts | None = None
+    engine: EngineProperties | None = None
 
 
 class CallerLimits(Struct, frozen=True):
--- a/packages/node/src/bronzepoint_node/placement/_tracked_target.py
+++ b/packages/node/src/bronzepoint_node/placement/_tracked_target.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from bronzepoint_node.fleet import EngineFacts
+from bronzepoint_node.fleet import EngineProperties
 from bronzepoint_node.quarantine import WatchedRun
 from bronzepoint_node.targets import Health, HealthState
 from bronzepoint_schema.generated.fleet import TargetInfo
@@ -71,7 +71,7 @@
     """
 
     info: TargetInfo
-    engine: EngineFacts | None
+    engine: EngineProperties | None
     memory: CacheEstimate
     health: Health
     cold_until: float = 0.0
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -12,7 +12,7 @@
 from bronzepoint_node.core._target_reader import Reading
 from bronzepoint_node.fleet import (
     CallerLimits,
-    EngineFacts,
+    EngineProperties,
     Registry,
     ServedCatalogue,
     ServedService,
@@ -60,7 +60,7 @@
         self.sent_bytes = Counter()
         self.names = [f"10.1.0.{number}" for number in range(hosts)]
         self.engine = ServedService(
-            "s", "/h", 100, engine=EngineFacts(SLOTS, memory_tokens)
+            "s", "/h", 100, engine=EngineProperties(SLOTS, memory_tokens)
         )
         self.targets = [f"t{number}" for number in range(targets)]
         self._posted = []
--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -6,7 +6,7 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.fleet import EngineFacts, ServedService
+from bronzepoint_node.fleet import EngineProperties, ServedService
 from bronzepoint_node.placement import (
     EngineReport,
     LoadExchange,
@@ -28,7 +28,7 @@
 MAX_CHOICE_AGE_S = 0.05
 """Maximum age in seconds of the data behind a choice in a region."""
 TARGETS = ("t1", "t2")
-ENGINE = ServedService("s", "/h", 100, 3.0, 2.0, EngineFacts(64, 200_000))
+ENGINE = ServedService("s", "/h", 100, 3.0, 2.0, EngineProperties(64, 200_000))
 
 
 class Network:
--- a/tests/test_placement_fetch.py
+++ b/tests/test_placement_fetch.py
@@ -4,7 +4,7 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.fleet import EngineFacts, ServedService
+from bronzepoint_node.fleet import EngineProperties, ServedService
 from bronzepoint_node.placement import (
     LocalPlacement,
     Prompt,
@@ -27,8 +27,10 @@
 
 
 def site(copy_seconds=FAST, targets=("t1", "t2", "t3")):
-    facts = EngineFacts(64, 400_000, token_bytes=copy_seconds * 1e9, link_bytes=1e9)
-    service = ServedService("s", "/h", 100, 3.0, 2.0, facts)
+    properties = EngineProperties(
+        64, 400_000, token_bytes=copy_seconds * 1e9, link_bytes=1e9
+    )
+    service = ServedService("s", "/h", 100, 3.0, 2.0, properties)
     return Site(*(info(name) for name in targets), service=service)
 
 
--- a/tests/test_placement_pace.py
+++ b/tests/test_placement_pace.py
@@ -4,7 +4,7 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.fleet import EngineFacts, ServedService
+from bronzepoint_node.fleet import EngineProperties, ServedService
 from bronzepoint_node.placement import (
     LocalPlacement,
     Prompt,
@@ -16,7 +16,7 @@
 from bronzepoint_node.placement._pace import MIN_EVENTS, TIME_CONSTANT, Pace
 from tests.test_placement_placer import Site, info
 
-FACTS = EngineFacts(64, 4_000_000, event_tokens=7)
+FACTS = EngineProperties(64, 4_000_000, event_tokens=7)
 SERVICE = ServedService("s", "/h", 100, 3.0, 2.0, FACTS)
 TIME_LEFT = 5.0
 """Seconds until the deadline of the requests of `Site.make_request`."""
@@ -95,7 +95,7 @@
         """
         site = Site(info("t1"), service=SERVICE)
         tracked = site.table.get("t1")
-        tracked.engine = EngineFacts(500, 4_000_000, event_tokens=7)
+        tracked.engine = EngineProperties(500, 4_000_000, event_tokens=7)
         outcomes = []
         for number in range(119):
             request_prompt = prompt(12_000, 70, f"own-{number}")
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -9,7 +9,7 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import (
-    EngineFacts,
+    EngineProperties,
     Registry,
     RouteKind,
     ServedRoute,
@@ -42,7 +42,7 @@
     TargetInfo,
 )
 
-ENGINE = ServedService("s", "/h", 100, 3.0, 2.0, EngineFacts(64, 200_000))
+ENGINE = ServedService("s", "/h", 100, 3.0, 2.0, EngineProperties(64, 200_000))
 PLAIN = ServedService("s", "/h", 100)
 
 
