--- a/packages/node/src/bronzepoint_node/core/__init__.py
+++ b/packages/node/src/bronzepoint_node/core/__init__.py
@@ -1,12 +1,12 @@
 """Services of core hosts for entry hosts: catalogue, target list and scheduling."""
 
-from ._core_hub import CoreHub
+from ._core_sync import CoreSync
 from ._quarantine_keeper import QuarantineKeeper
 from ._region_scheduler import RegionScheduler
 from ._target_reader import ListUnavailable, TargetReader
 
 __all__ = [
-    "CoreHub",
+    "CoreSync",
     "ListUnavailable",
     "QuarantineKeeper",
     "RegionScheduler",
--- a/packages/node/src/bronzepoint_node/core/_core_hub.py
+++ b/packages/node/src/bronzepoint_node/core/_core_sync.py
@@ -41,7 +41,7 @@
 _log = get_logger("core")
 
 
-class CoreHub:
+class CoreSync:
     """Answers syncs of entry hosts and exchanges notices with the other core hosts.
 
     Args:
@@ -90,7 +90,7 @@
         """Return the entry hosts that sync with this host."""
         return [host.name for host in self._syncing_entries()]
 
-    def tell_loads(self, loads: list[RegionLoad]) -> None:
+    def report_loads(self, loads: list[RegionLoad]) -> None:
         """Send this region's load to the other regions, which forward accordingly."""
         self.registry.merge_loads(loads)
         notice = CoreNotice([], loads, [], [])
--- a/tests/test_core_notices.py
+++ b/tests/test_core_notices.py
@@ -8,8 +8,8 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.peers import Area
 from bronzepoint_common.rendezvous import rendezvous_order
-from bronzepoint_node.core import CoreHub
-from bronzepoint_node.core._core_hub import (
+from bronzepoint_node.core import CoreSync
+from bronzepoint_node.core._core_sync import (
     FULL_NOTICE_HOSTS,
     MAX_CASES_PER_NOTICE,
     MAX_HOSTS_PER_NOTICE,
@@ -46,23 +46,25 @@
         """Guards against idle regions next to a full one whose free capacity becomes
         known half a second late."""
         links = StubPeers()
-        hub = CoreHub("x1", "x", None, None, links)
+        core_sync = CoreSync("x1", "x", None, None, links)
         cores = [CoreHost("x2", "x", 0), CoreHost("y1", "y", 0), CoreHost("z1", "z", 0)]
-        hub.registry.merge_core(cores)
+        core_sync.registry.merge_core(cores)
         reported = [load("x", 60)]
-        hub.tell_loads(reported)
+        core_sync.report_loads(reported)
         self.assertEqual(sorted(peer for peer, *_ in links.posted), ["y1", "z1"])
         self.assertEqual(
             links.posted[0][1:], (Area.FLEET, CoreNotice([], reported, [], []))
         )
-        self.assertEqual([known.in_progress for known in hub.registry.loads()], [60])
+        self.assertEqual(
+            [known.in_progress for known in core_sync.registry.loads()], [60]
+        )
 
     def test_load_is_sent_to_the_scheduler_and_its_successor(self):
         links = StubPeers()
-        hub = CoreHub("x1", "x", None, None, links)
+        core_sync = CoreSync("x1", "x", None, None, links)
         names = [f"{region}{n}" for region in "yz" for n in range(20)]
-        hub.registry.merge_core(CoreHost(name, name[0], 0) for name in names)
-        hub.tell_loads([load("x", 60)])
+        core_sync.registry.merge_core(CoreHost(name, name[0], 0) for name in names)
+        core_sync.report_loads([load("x", 60)])
         reported = [peer for peer, *_ in links.posted]
         for region in "yz":
             hosts = [name for name in names if name[0] == region]
@@ -76,23 +78,27 @@
     )
     def test_notices_are_smaller_with_many_hosts(self, others, cases):
         """Guards against links that are filled by the notices within a large core."""
-        hub = CoreHub("x0", "x", None, None, StubPeers())
+        core_sync = CoreSync("x0", "x", None, None, StubPeers())
         now = monotonic()
         for number in range(100):
             crash_records = {f"q{number}": CrashRecord(now, early=True)}
-            hub._crashes.record_crash(crash_records, "s", f"t{number}", now)
-        hub.registry.merge_core(CoreHost(f"x{n}", "x", 0) for n in range(1, others + 1))
-        notice = hub._build_notice(hub._core(), others)
+            core_sync._crashes.record_crash(crash_records, "s", f"t{number}", now)
+        core_sync.registry.merge_core(
+            CoreHost(f"x{n}", "x", 0) for n in range(1, others + 1)
+        )
+        notice = core_sync._build_notice(core_sync._core(), others)
         self.assertEqual(len(notice.crashes), cases)
         self.assertEqual(len(notice.core), min(others + 1, MAX_HOSTS_PER_NOTICE))
         self.assertIn("x0", [host.name for host in notice.core])
 
     def test_each_core_host_is_listed_before_it_expires(self):
         """Guards against a host that counts as lost because others are listed."""
-        hub = CoreHub("x0", "x", None, None, StubPeers())
-        hub.registry.merge_core(CoreHost(f"x{n}", "x", 0) for n in range(1, 107))
+        core_sync = CoreSync("x0", "x", None, None, StubPeers())
+        core_sync.registry.merge_core(CoreHost(f"x{n}", "x", 0) for n in range(1, 107))
         rounds = int(CORE_EXPIRY / NOTICE_INTERVAL)
-        listed = [hub._build_notice(hub._core(), 106).core for _ in range(rounds)]
+        listed = [
+            core_sync._build_notice(core_sync._core(), 106).core for _ in range(rounds)
+        ]
         self.assertEqual(len({host.name for core in listed for host in core}), 107)
 
 
--- a/tests/test_fleet_large_catalogue.py
+++ b/tests/test_fleet_large_catalogue.py
@@ -12,7 +12,7 @@
 
 import curio
 
-from bronzepoint_node.core import CoreHub, TargetReader
+from bronzepoint_node.core import CoreSync, TargetReader
 from bronzepoint_node.fleet import SyncClient, _registry, _sync_client
 from bronzepoint_platform._manifest import read_manifest
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState
@@ -56,7 +56,7 @@
     def __init__(self, cluster, operator):
         self.link = LinkModel(LINK_BYTES, operator.work_until)
         core = cluster.running["a1"], TargetReader(None, {}.get), cluster.peers["a1"]
-        self.link.answer_with(CoreHub("a1", "a", *core)._handle)
+        self.link.answer_with(CoreSync("a1", "a", *core)._handle)
         self.held = {}
         self._operator = operator
         self._client = SyncClient(
--- a/tests/test_fleet_late_answers.py
+++ b/tests/test_fleet_late_answers.py
@@ -6,7 +6,7 @@
 
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import Area, Peers
-from bronzepoint_node.core import CoreHub, TargetReader
+from bronzepoint_node.core import CoreSync, TargetReader
 from bronzepoint_node.fleet import SyncClient
 from bronzepoint_node.fleet._sync_client import SEED_SYNC_TIMEOUT, SYNC_TIMEOUT
 from bronzepoint_platform._manifest import read_manifest
@@ -40,11 +40,11 @@
                 await cluster.until(lambda: running.confirmed_age() is not None)
                 await cluster.put("a1", 1, large_manifest(1, ROUTES))
                 core = running, TargetReader(None, {}.get), cluster.peers["a1"]
-                hub = CoreHub("a1", "a", *core)
+                core_sync = CoreSync("a1", "a", *core)
 
                 async def answer(peer, message):
                     await curio.sleep(DELAY)
-                    return await hub._handle(peer, message)
+                    return await core_sync._handle(peer, message)
 
                 return await self.follow(answer)
 
