--- a/packages/node/src/bronzepoint_node/core/_quarantine_keeper.py
+++ b/packages/node/src/bronzepoint_node/core/_core_quarantine.py
@@ -40,7 +40,7 @@
 _log = get_logger("quarantine")
 
 
-class QuarantineKeeper:
+class CoreQuarantine:
     """Collects crash reports of all hosts, grants trial permits and saves the records.
 
     The records are saved to disk because otherwise, after a restart of all hosts, a
--- a/tests/test_quarantine_admission.py
+++ b/tests/test_quarantine_admission.py
@@ -10,7 +10,7 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import PeerTimeout
-from bronzepoint_node.core import QuarantineKeeper
+from bronzepoint_node.core import CoreQuarantine
 from bronzepoint_node.core._trial_permits import TrialPermits
 from bronzepoint_node.quarantine import (
     RETENTION,
@@ -231,24 +231,24 @@
         self.assertEqual(calls, permit_queries)
 
 
-class TestKeeper(unittest.TestCase):
+class TestCoreQuarantine(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def keeper(self):
+    def core_quarantine(self):
         links = StubPeers()
-        return QuarantineKeeper(links, self.folder, lambda: ["e1", "e2"]), links
+        return CoreQuarantine(links, self.folder, lambda: ["e1", "e2"]), links
 
     def test_restart_of_all_hosts_keeps_records(self):
         async def main():
-            keeper, _ = self.keeper()
-            await keeper.start()
-            add_crashes(keeper.table, "q", 3, alone=True)
-            await keeper._save()
-            await keeper.close()
-            restarted, _ = self.keeper()
+            core_quarantine, _ = self.core_quarantine()
+            await core_quarantine.start()
+            add_crashes(core_quarantine.table, "q", 3, alone=True)
+            await core_quarantine._save()
+            await core_quarantine.close()
+            restarted, _ = self.core_quarantine()
             await restarted.start()
             await restarted.close()
             return restarted.table.standing("q"), restarted.table.blocked_for(
@@ -263,10 +263,10 @@
         (self.folder / "quarantine.snapshot").write_bytes(b"damaged")
 
         async def main():
-            keeper, _ = self.keeper()
-            await keeper.start()
-            await keeper.close()
-            return len(keeper.table)
+            core_quarantine, _ = self.core_quarantine()
+            await core_quarantine.start()
+            await core_quarantine.close()
+            return len(core_quarantine.table)
 
         self.assertEqual(curio.run(main), 0)
 
@@ -274,7 +274,7 @@
         """Guards against another crash through an entry host that hasn't synced yet."""
 
         async def main():
-            keeper, links = self.keeper()
+            core_quarantine, links = self.core_quarantine()
             seen = CrashTable()
             add_crashes(seen, "q", 1)
             notice = CrashNotice(seen.select_cases(monotonic(), 16))
@@ -289,33 +289,33 @@
     @params((3, False, [True, False]), (0, False, [True, False]))
     def test_permits_for_trials(self, crashes, alone, expected):
         async def main():
-            keeper, links = self.keeper()
-            add_crashes(keeper.table, "q", crashes, alone)
+            core_quarantine, links = self.core_quarantine()
+            add_crashes(core_quarantine.table, "q", crashes, alone)
             replies = [await links.handler("e1", TrialRequest("q")) for _ in range(2)]
             return [reply.granted for reply in replies]
 
         self.assertEqual(curio.run(main)[: len(expected)], expected)
 
     def test_operator_releases_a_request(self):
-        keeper, _ = self.keeper()
-        add_crashes(keeper.table, "*q", 3)
-        add_crashes(keeper.table, "q", 3, alone=True)
-        (listed,) = keeper.listed()
+        core_quarantine, _ = self.core_quarantine()
+        add_crashes(core_quarantine.table, "*q", 3)
+        add_crashes(core_quarantine.table, "q", 3, alone=True)
+        (listed,) = core_quarantine.listed()
         self.assertEqual((listed.fingerprint, listed.standing), ("q", "held"))
         self.assertEqual(len(listed.crashes), 3)
         self.assertGreater(listed.seconds_left, 0.0)
-        self.assertTrue(keeper.release("q"))
-        self.assertFalse(keeper.release("q"))
-        self.assertEqual(keeper.listed(), [])
+        self.assertTrue(core_quarantine.release("q"))
+        self.assertFalse(core_quarantine.release("q"))
+        self.assertEqual(core_quarantine.listed(), [])
 
     def test_crash_reported_after_a_release_does_not_block_again(self):
         """Guards against reporting a release of a request that wasn't blocked."""
-        keeper, _ = self.keeper()
-        add_crashes(keeper.table, "q", 3, alone=True)
-        self.assertTrue(keeper.release("q"))
+        core_quarantine, _ = self.core_quarantine()
+        add_crashes(core_quarantine.table, "q", 3, alone=True)
+        self.assertTrue(core_quarantine.release("q"))
         late = {"q": CrashRecord(monotonic(), True)}
-        keeper.table.record_crash(late, "s", "t-late", monotonic())
-        self.assertFalse(keeper.release("q"))
+        core_quarantine.table.record_crash(late, "s", "t-late", monotonic())
+        self.assertFalse(core_quarantine.release("q"))
 
 
 if __name__ == "__main__":
