--- a/packages/node/src/bronzepoint_node/core/_core_sync.py
+++ b/packages/node/src/bronzepoint_node/core/_core_sync.py
@@ -23,8 +23,8 @@
 from bronzepoint_schema.ids import HostName, RegionName
 
 from ._document_feed import DocumentFeed
-from ._hosts_for import HostOrderCache, count_ready_hosts, visible_hosts
 from ._target_reader import TargetReader
+from ._visible_hosts import HostOrderCache, count_ready_hosts, visible_hosts
 
 NOTICE_INTERVAL = 0.5
 """Seconds between two notices to the other core hosts."""
--- a/packages/node/src/bronzepoint_node/quarantine/__init__.py
+++ b/packages/node/src/bronzepoint_node/quarantine/__init__.py
@@ -1,11 +1,11 @@
 """Detection and isolation of requests that crash the targets that run them."""
 
-from ._case import RETENTION, CrashRecord, SuspectRecord
 from ._crash_detector import Crash, CrashDetector, WatchedRun
 from ._crash_table import CrashTable
 from ._fingerprint import RequestFingerprints, fingerprint_request, is_any_caller
 from ._quarantine import Admitted, Blocked, Quarantine, TrialEnd
 from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel
+from ._suspect_record import RETENTION, CrashRecord, SuspectRecord
 
 __all__ = [
     "RETENTION",
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
@@ -7,9 +7,9 @@
 from bronzepoint_schema.generated.quarantine import CrashCase
 from bronzepoint_schema.ids import Fingerprint
 
-from ._case import RETENTION, CrashRecord, SuspectRecord
 from ._fingerprint import RequestFingerprints
 from ._standing import MIN_CRASHES_SUSPECT, SuspicionLevel, suspicion_levels
+from ._suspect_record import RETENTION, CrashRecord, SuspectRecord
 
 MAX_RECORDS = 512
 """Maximum number of requests kept, about 1 MB. The ones with the most crashes stay."""
--- a/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_quarantine.py
@@ -20,11 +20,11 @@
 )
 from bronzepoint_schema.ids import Fingerprint, HostName
 
-from ._case import CrashRecord
 from ._crash_detector import Crash
 from ._crash_table import CrashTable
 from ._fingerprint import RequestFingerprints
 from ._standing import SuspicionLevel
+from ._suspect_record import CrashRecord
 
 MAX_CASES_PER_NOTICE = 24
 """Maximum number of records in one notice, about 2 KB. The others are sent with the
--- a/packages/node/src/bronzepoint_node/quarantine/_standing.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_standing.py
@@ -6,8 +6,8 @@
 
 from bronzepoint_schema.ids import Fingerprint
 
-from ._case import CrashRecord, SuspectRecord
 from ._fingerprint import is_any_caller
+from ._suspect_record import CrashRecord, SuspectRecord
 
 MIN_CRASHES_SUSPECT = 2
 """Number of early crashes from which a request is a suspect. A single crash proves
--- a/tests/test_core_hosts_for.py
+++ b/tests/test_core_visible_hosts.py
@@ -6,8 +6,8 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.core import _hosts_for
-from bronzepoint_node.core._hosts_for import (
+from bronzepoint_node.core import _visible_hosts
+from bronzepoint_node.core._visible_hosts import (
     LARGE_REGION_HOSTS,
     MAX_LOCAL_HOSTS,
     MAX_READY_PER_REGION,
@@ -87,7 +87,7 @@
         live = entries(64)
         orders = HostOrderCache()
         first = visible_hosts(live[0], live, orders)
-        with mock.patch.object(_hosts_for, "rendezvous_order") as hashed:
+        with mock.patch.object(_visible_hosts, "rendezvous_order") as hashed:
             again = visible_hosts(live[0], live, orders)
             hashed.assert_not_called()
         self.assertEqual(again, first)
--- a/tests/test_quarantine_table.py
+++ b/tests/test_quarantine_table.py
@@ -10,7 +10,6 @@
     CrashTable,
     SuspicionLevel,
 )
-from bronzepoint_node.quarantine._case import MAX_CRASH_RECORDS
 from bronzepoint_node.quarantine._crash_table import (
     MAX_RECORDS,
     MAX_SETTLED,
@@ -18,6 +17,7 @@
     ROTATION_INTERVAL,
     SETTLED_AFTER,
 )
+from bronzepoint_node.quarantine._suspect_record import MAX_CRASH_RECORDS
 
 NOW = 1000.0
 
