--- a/packages/emulator/src/bronzepoint_emulator/slopes/agreement.py
+++ b/packages/emulator/src/bronzepoint_emulator/slopes/agreement.py
@@ -25,7 +25,7 @@
     print_row,
     run_host,
 )
-from bronzepoint_node.agreement._machine import Machine
+from bronzepoint_node.agreement._state_machine import StateMachine
 from bronzepoint_node.agreement._voter_log import VoterLog
 from bronzepoint_schema.generated.agreement import Change, ChangeBody, LogEntry, Put
 from bronzepoint_schema.generated.catalogue import Limits, OwnerItem
@@ -127,12 +127,12 @@
         await log.open()
         reopen = time.perf_counter() - started
         started = time.perf_counter()
-        machine = Machine(ClusterId("slopes"), [])
+        state_machine = StateMachine(ClusterId("slopes"), [])
         for entry in log_entries:
-            machine.apply(entry)
+            state_machine.apply(entry)
         replay = time.perf_counter() - started
         started = time.perf_counter()
-        await log.compact(machine.snapshot(), keep=0)
+        await log.compact(state_machine.snapshot(), keep=0)
         compact = time.perf_counter() - started
         await log.close()
     times = [round(1000 * seconds, 3) for seconds in (append, reopen, replay, compact)]
--- a/packages/node/src/bronzepoint_node/agreement/_agreement.py
+++ b/packages/node/src/bronzepoint_node/agreement/_agreement.py
@@ -140,7 +140,7 @@
         if self._voter is None:
             return None
         until = self._voter.lease_until()
-        if until is None or self._catalogue.held < self._voter.machine.revision:
+        if until is None or self._catalogue.held < self._voter.state_machine.revision:
             return None
         return max(0.0, monotonic() - until)
 
--- a/packages/node/src/bronzepoint_node/agreement/_leadership.py
+++ b/packages/node/src/bronzepoint_node/agreement/_leadership.py
@@ -30,8 +30,8 @@
 )
 from bronzepoint_schema.ids import ChangeId, HostName, RegionName, StorageId, Term
 
-from ._machine import find_voter, replace_storage
 from ._quorum import reached_by_quorum
+from ._state_machine import find_voter, replace_storage
 from ._status import VoterStatus
 from ._voter_choice import VoterCandidate, select_voters
 
@@ -131,7 +131,7 @@
     @property
     def ready(self) -> bool:
         """Whether all entries committed by former leaders are applied on this host."""
-        return self._voter.machine.index >= self._first_index
+        return self._voter.state_machine.index >= self._first_index
 
     def lease_until(self) -> float:
         """Return when the lease expires, by this host's monotonic clock in seconds.
@@ -148,7 +148,7 @@
         Returns:
             The outcome if it is known already, else None: it is delivered later.
         """
-        result = self._voter.machine.result(change.change_id)
+        result = self._voter.state_machine.result(change.change_id)
         if result is not None:
             self._voter.metrics.incr("agreement.resend_answered")
             return ProposeReply(change.change_id, self._voter.name, result)
@@ -156,9 +156,11 @@
         is_first = not waiting_hosts
         waiting_hosts.add(host)
         if is_first:
-            log, machine = self._voter.log, self._voter.machine
-            pending = log.entries_after(machine.index, log.last_index - machine.index)
-            encoded = machine.delta_encode(change, pending)
+            log, state_machine = self._voter.log, self._voter.state_machine
+            pending = log.entries_after(
+                state_machine.index, log.last_index - state_machine.index
+            )
+            encoded = state_machine.delta_encode(change, pending)
             await self._append_locked(ChangeBody(encoded))
         return None
 
@@ -172,7 +174,7 @@
         """Return the status of each voter."""
         now = monotonic()
         statuses = []
-        for voter in self._voter.machine.voters:
+        for voter in self._voter.state_machine.voters:
             progress = self._progress.get(voter.host)
             if progress is None:
                 last = self._voter.log.last_index
@@ -276,7 +278,7 @@
         previous_term = log.term_at(previous) if previous >= 0 else None
         if previous_term is None:
             self._voter.metrics.incr("agreement.snapshot_sent")
-            snapshot = self._voter.machine.snapshot()
+            snapshot = self._voter.state_machine.snapshot()
             state = zlib.compress(_encoder.encode(snapshot), 1)
             return SnapshotInstall(
                 cluster, self.term, storage, snapshot.index, snapshot.term, state
@@ -339,12 +341,12 @@
         if monotonic() >= self.lease_until():
             return
         for progress in self._progress.values():
-            current_voter = find_voter(voter.machine.voters, progress.host)
+            current_voter = find_voter(voter.state_machine.voters, progress.host)
             if current_voter is None or current_voter.storage == progress.storage:
                 continue
             if not self._is_caught_up(progress):
                 continue
-            former = list(voter.machine.voters)
+            former = list(voter.state_machine.voters)
             replacement = VoterId(progress.host, progress.storage)
             voters = replace_storage(former, replacement)
             _log.warning("replacing a voter's storage", voter=progress.host)
@@ -364,7 +366,7 @@
             return
         if monotonic() >= self.lease_until():
             return
-        former = list(voter.machine.voters)
+        former = list(voter.state_machine.voters)
         voters = select_voters(
             former, self._candidates(former), desired, voter.section.replace_after
         )
--- a/packages/node/src/bronzepoint_node/agreement/_seeded_agreement.py
+++ b/packages/node/src/bronzepoint_node/agreement/_seeded_agreement.py
@@ -152,22 +152,22 @@
     @property
     def document(self) -> ReplaceDocument | None:
         """Newest document on this host; another host may hold a newer one."""
-        return self._voter.machine.document
+        return self._voter.state_machine.document
 
     @property
     def documents(self) -> DocumentHistory:
         """The newest document on this host and its recent changes."""
-        return self._voter.machine.documents
+        return self._voter.state_machine.documents
 
     @property
     def closed(self) -> frozenset[DataCenterName]:
         """Data centers whose targets receive no requests, as known to this host."""
-        return self._voter.machine.closed
+        return self._voter.state_machine.closed
 
     @property
     def revision(self) -> int:
         """Number of accepted changes known to this host."""
-        return self._voter.machine.revision
+        return self._voter.state_machine.revision
 
     @property
     def failure(self) -> str:
--- a/packages/node/src/bronzepoint_node/agreement/_machine.py
+++ b/packages/node/src/bronzepoint_node/agreement/_state_machine.py
@@ -76,7 +76,7 @@
     delta: Delta | None = None
 
 
-class Machine:
+class StateMachine:
     """The catalogue, its versions and the outcomes of recent changes.
 
     It must be deterministic: it uses neither clocks nor random numbers, so that each
@@ -107,26 +107,30 @@
         self._newest_evicted = ChangeId("")
 
     @classmethod
-    def restore(cls, snapshot: MachineSnapshot) -> "Machine":
+    def restore(cls, snapshot: MachineSnapshot) -> "StateMachine":
         """Return a state machine restored from a snapshot."""
-        machine = cls(snapshot.cluster, snapshot.voters)
-        machine.index = snapshot.index
-        machine.term = snapshot.term
-        machine.revision = snapshot.revision
-        machine._items = {item_key(item): item for item in snapshot.items}
+        state_machine = cls(snapshot.cluster, snapshot.voters)
+        state_machine.index = snapshot.index
+        state_machine.term = snapshot.term
+        state_machine.revision = snapshot.revision
+        state_machine._items = {item_key(item): item for item in snapshot.items}
         for version in snapshot.versions:
             key = ItemKey.of(version.item_kind, version.name)
-            machine._versions[key] = version
-            if key not in machine._items:
-                machine._removed[key] = None
-        machine._results = {result.change_id: result for result in snapshot.results}
-        machine._id_heap = sorted(machine._results)
-        machine._newest_evicted = snapshot.forgotten
+            state_machine._versions[key] = version
+            if key not in state_machine._items:
+                state_machine._removed[key] = None
+        state_machine._results = {
+            result.change_id: result for result in snapshot.results
+        }
+        state_machine._id_heap = sorted(state_machine._results)
+        state_machine._newest_evicted = snapshot.forgotten
         if snapshot.document is not None:
             document = snapshot.document
-            machine.documents = DocumentHistory(document.version, document.content)
-        machine.closed = frozenset(snapshot.closed)
-        return machine
+            state_machine.documents = DocumentHistory(
+                document.version, document.content
+            )
+        state_machine.closed = frozenset(snapshot.closed)
+        return state_machine
 
     @property
     def document(self) -> ReplaceDocument | None:
--- a/packages/node/src/bronzepoint_node/agreement/_voter.py
+++ b/packages/node/src/bronzepoint_node/agreement/_voter.py
@@ -43,9 +43,9 @@
 from ._election import Election
 from ._initialisation import derive_cluster_id
 from ._leadership import Leadership
-from ._machine import Machine
 from ._quorum import VoterSets
 from ._replication_handler import ReplicationHandler
+from ._state_machine import StateMachine
 from ._status import AgreementStatus, Role, VoterStatus
 from ._vote_handler import VoteHandler
 from ._voter_log import VoterLog
@@ -103,7 +103,7 @@
         self.metrics = metrics
         self.deliver = deliver
         self.log = VoterLog(folder)
-        self.machine = Machine(ClusterId(""), [])
+        self.state_machine = StateMachine(ClusterId(""), [])
         self.lock = curio.Lock()
         self.commit_index = 0
         self.leader = HostName("")
@@ -183,14 +183,14 @@
 
     def voter_sets(self) -> VoterSets:
         """Return the set of voters, and the next set while a change is in progress."""
-        entry = self.log.last_voters_entry(self.machine.index)
+        entry = self.log.last_voters_entry(self.state_machine.index)
         if entry is None or not isinstance(entry.body, VotersBody):
-            return [self.machine.voters] if self.machine.voters else []
-        return [self.machine.voters, entry.body.voters]
+            return [self.state_machine.voters] if self.state_machine.voters else []
+        return [self.state_machine.voters, entry.body.voters]
 
     def has_applied_term(self) -> bool:
         """Return whether an entry of the current term is applied on this host."""
-        return self.machine.index > 0 and self.machine.term == self.log.term
+        return self.state_machine.index > 0 and self.state_machine.term == self.log.term
 
     def known_voters(self) -> list[VoterId]:
         """Return the voters of the newest set."""
@@ -201,7 +201,7 @@
         """Return the status of this voter for operators."""
         until = self.lease_until()
         lease_left = max(0.0, until - monotonic()) if until is not None else 0.0
-        voters = [VoterStatus(v.host, v.storage) for v in self.machine.voters]
+        voters = [VoterStatus(v.host, v.storage) for v in self.state_machine.voters]
         if self._leadership is not None and self._leadership.active:
             voters = self._leadership.voter_statuses()
         return AgreementStatus(
@@ -212,7 +212,7 @@
             term=self.log.term,
             last_index=self.log.last_index,
             commit_index=self.commit_index,
-            revision=self.machine.revision,
+            revision=self.state_machine.revision,
             lease_left=round(lease_left, 3),
             voters=voters,
             failure=self.failure,
@@ -299,8 +299,8 @@
     async def commit(self, index: int) -> None:
         """Apply entries that are durable on a quorum; the caller must hold the lock."""
         self.commit_index = max(self.commit_index, index)
-        while self.machine.index < min(self.commit_index, self.log.last_index):
-            await self._apply(self.log.entry(self.machine.index + 1))
+        while self.state_machine.index < min(self.commit_index, self.log.last_index):
+            await self._apply(self.log.entry(self.state_machine.index + 1))
         await self._applied.set()
         await self._compact()
 
@@ -317,10 +317,10 @@
     def _restore_machine(self) -> None:
         identity = self.log.identity
         if self.log.snapshot is not None:
-            self.machine = Machine.restore(self.log.snapshot)
+            self.state_machine = StateMachine.restore(self.log.snapshot)
         else:
-            self.machine = Machine(identity.cluster, list(identity.voters))
-        self.commit_index = self.machine.index
+            self.state_machine = StateMachine(identity.cluster, list(identity.voters))
+        self.commit_index = self.state_machine.index
 
     def _reported_role(self) -> Role:
         if self.failure:
@@ -367,7 +367,7 @@
         return self._leadership
 
     async def _apply(self, entry: LogEntry) -> None:
-        applied = self.machine.apply(entry)
+        applied = self.state_machine.apply(entry)
         if applied.delta is not None:
             self._deltas.append(applied.delta)
         if isinstance(entry.body, ChangeBody) and self.is_leader:
@@ -376,10 +376,10 @@
 
     async def _compact(self) -> None:
         snapshot = self.log.snapshot
-        since = self.machine.index - (snapshot.index if snapshot else 0)
+        since = self.state_machine.index - (snapshot.index if snapshot else 0)
         if since >= self.section.snapshot_every:
             keep = self.section.snapshot_every // 2
-            await self.log.compact(self.machine.snapshot(), keep)
+            await self.log.compact(self.state_machine.snapshot(), keep)
             self.metrics.incr("agreement.compacted")
 
     async def _update_catalogue(self) -> None:
@@ -390,10 +390,10 @@
             if not self.log.identity.cluster:
                 continue
             deltas, self._deltas = self._deltas, []
-            cluster, revision = self.machine.cluster, self.machine.revision
+            cluster, revision = self.state_machine.cluster, self.state_machine.revision
             known = await self._catalogue.advance(cluster, deltas)
             if not known or self._catalogue.held < revision:
-                await self._catalogue.replace(self.machine.view())
+                await self._catalogue.replace(self.state_machine.view())
 
     async def _run_elections(self) -> None:
         """Run an election after each election timeout, and lead if elected."""
--- a/tests/test_agreement_documents.py
+++ b/tests/test_agreement_documents.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from bronzepoint_node.agreement._documents import compress_document
-from bronzepoint_node.agreement._machine import Machine
+from bronzepoint_node.agreement._state_machine import StateMachine
 from bronzepoint_schema.generated.agreement import (
     Accepted,
     Change,
@@ -58,7 +58,7 @@
         """Changes reach the leader while earlier ones are pending, whole or compressed,
         with outdated and equal versions. A voter restored from a snapshot applies the
         rest of the same log and must reach the same state."""
-        leader, pending, log = Machine("c", []), [], []
+        leader, pending, log = StateMachine("c", []), [], []
         for version, packed, applies in steps:
             content = document(version)
             op = compress_document if packed else ReplaceDocument
@@ -74,10 +74,10 @@
         highest = max((version for version, *_ in steps), default=-1)
         self.assertEqual(leader.documents.version, highest)
         for restored_at in range(len(log) + 1):
-            voter = Machine("c", [])
+            voter = StateMachine("c", [])
             for entry in log[:restored_at]:
                 voter.apply(entry)
-            voter = Machine.restore(voter.snapshot())
+            voter = StateMachine.restore(voter.snapshot())
             for entry in log[restored_at:]:
                 voter.apply(entry)
             self.assertEqual(voter.snapshot(), leader.snapshot())
--- a/tests/test_agreement_machine.py
+++ b/tests/test_agreement_machine.py
@@ -10,9 +10,9 @@
 import uuid_utils
 from nose2.tools import params
 
-from bronzepoint_node.agreement import _machine
-from bronzepoint_node.agreement._machine import Machine
+from bronzepoint_node.agreement import _state_machine
 from bronzepoint_node.agreement._quorum import is_quorum, reached_by_quorum
+from bronzepoint_node.agreement._state_machine import StateMachine
 from bronzepoint_node.agreement._voter_log import VoterLog
 from bronzepoint_node.catalogue import apply_delta, item_key
 from bronzepoint_schema.generated.agreement import (
@@ -31,14 +31,14 @@
 from tests._agreement_cluster import make_change, remove_owner
 
 
-class TestMachine(unittest.TestCase):
+class TestStateMachine(unittest.TestCase):
     def setUp(self):
-        self.machine = Machine("cluster", [Voter("bkk1", "a")])
+        self.state_machine = StateMachine("cluster", [Voter("bkk1", "a")])
 
     def apply(self, change):
-        index = self.machine.index + 1
+        index = self.state_machine.index + 1
         entry = LogEntry(index, 1, 0.0, ChangeBody(change))
-        return self.machine.apply(entry).result
+        return self.state_machine.apply(entry).result
 
     def put(self, name="owner", version=1, operator="olive", change_id=None):
         return make_change(Put(OwnerItem(name)), version, operator, change_id)
@@ -48,7 +48,7 @@
         second = self.apply(self.put(operator="pim"))
         self.assertEqual((first.revision, first.version), (1, 1))
         self.assertEqual(second, Conflicted(second.change_id, "olive", 1))
-        self.assertEqual(self.machine.revision, 1)
+        self.assertEqual(self.state_machine.revision, 1)
 
     @params(0, 2, 7)
     def test_version_must_be_the_next(self, version):
@@ -60,16 +60,16 @@
         self.apply(self.put(version=2))
         lost = self.put(version=2)
         conflict = self.apply(lost)
-        self.machine = self.restored()
+        self.state_machine = self.restored()
         self.assertEqual(self.apply(change), first)
         self.assertEqual(self.apply(lost), conflict)
-        self.assertEqual(self.machine.revision, 2)
+        self.assertEqual(self.state_machine.revision, 2)
 
     def test_removed_item_keeps_its_version(self):
         """A put that is resent after a remove must not restore the item."""
         self.apply(self.put())
         self.assertIsInstance(self.apply(remove_owner("owner", 2)), Accepted)
-        self.machine = self.restored()
+        self.state_machine = self.restored()
         self.assertIsInstance(self.apply(self.put(version=1)), Conflicted)
         self.assertIsInstance(self.apply(remove_owner("owner", 3)), Conflicted)
         self.assertIsInstance(self.apply(self.put(version=3)), Accepted)
@@ -77,24 +77,26 @@
     def test_change_older_than_the_kept_outcomes_is_refused(self):
         """A resend whose outcome was evicted could otherwise be applied twice."""
         changes = [self.put(f"owner{number}") for number in range(6)]
-        with mock.patch.object(_machine, "MAX_RESULTS", 3):
+        with mock.patch.object(_state_machine, "MAX_RESULTS", 3):
             for change in changes:
                 self.apply(change)
-            self.machine = self.restored()
+            self.state_machine = self.restored()
             self.assertEqual(self.apply(changes[2]), Expired(changes[2].change_id))
             self.assertIsInstance(self.apply(changes[3]), Accepted)
-        self.assertEqual(self.machine.revision, 6)
+        self.assertEqual(self.state_machine.revision, 6)
 
     def test_snapshot_holds_the_whole_state(self):
         for number in range(20):
             self.apply(self.put(f"owner{number}"))
         self.apply(remove_owner("owner3", 2))
-        self.assertEqual(len(self.machine.snapshot().results), 21)
-        self.assertEqual(self.restored().snapshot(), self.machine.snapshot())
+        self.assertEqual(len(self.state_machine.snapshot().results), 21)
+        self.assertEqual(self.restored().snapshot(), self.state_machine.snapshot())
 
     def restored(self):
-        content = msgspec.msgpack.encode(self.machine.snapshot())
-        return Machine.restore(msgspec.msgpack.decode(content, type=MachineSnapshot))
+        content = msgspec.msgpack.encode(self.state_machine.snapshot())
+        return StateMachine.restore(
+            msgspec.msgpack.decode(content, type=MachineSnapshot)
+        )
 
     def test_change_of_one_target_is_a_small_delta(self):
         targets = [
@@ -108,8 +110,8 @@
         for version, chosen in enumerate([targets, after, list(reversed(after))], 1):
             item = msgspec.structs.replace(entry, targets=chosen)
             body = ChangeBody(make_change(Put(item), version))
-            log_entry = LogEntry(self.machine.index + 1, 1, 0.0, body)
-            delta = self.machine.apply(log_entry).delta
+            log_entry = LogEntry(self.state_machine.index + 1, 1, 0.0, body)
+            delta = self.state_machine.apply(log_entry).delta
             state = apply_delta(state, delta)
             held = state[item_key(item)]
             self.assertEqual(held, msgspec.structs.replace(item, version=version))
@@ -126,17 +128,17 @@
         after = msgspec.structs.replace(entry, targets=targets[1:])
         self.apply(make_change(Put(entry)))
         change = make_change(Put(after), 2)
-        short = self.machine.delta_encode(change)
+        short = self.state_machine.delta_encode(change)
         self.assertLess(len(msgspec.msgpack.encode(short)), 1000)
         concurrent = self.apply(make_change(Put(entry), 2, "pim"))
         self.assertIsInstance(concurrent, Accepted)
         self.assertIsInstance(self.apply(short), Conflicted)
-        short = self.machine.delta_encode(make_change(Put(after), 3))
+        short = self.state_machine.delta_encode(make_change(Put(after), 3))
         self.assertIsInstance(self.apply(short), Accepted)
         expected = msgspec.structs.replace(after, version=3)
-        self.assertEqual(self.machine.view().items, [expected])
+        self.assertEqual(self.state_machine.view().items, [expected])
         outdated = make_change(Put(entry), 3)
-        self.assertIs(self.machine.delta_encode(outdated), outdated)
+        self.assertIs(self.state_machine.delta_encode(outdated), outdated)
 
 
 OLD = [Voter("bkk1", "a"), Voter("sgp1", "b"), Voter("cnx1", "c")]
--- a/tests/test_agreement_repair.py
+++ b/tests/test_agreement_repair.py
@@ -16,7 +16,7 @@
 
 
 def agreed_storage(observer, host):
-    voters = observer.agreement._voter.machine.voters
+    voters = observer.agreement._voter.state_machine.voters
     return next(v.storage for v in voters if v.host == host.name)
 
 
@@ -183,7 +183,7 @@
             wiped.wipe()
             cluster.isolate(wiped.name)
             await wiped.start()
-            state = leader.agreement._voter.machine.snapshot()
+            state = leader.agreement._voter.state_machine.snapshot()
             term, storage = leader.status.term, leader.status.storage
             handle = wiped.agreement._voter.handle
             reply = await handle(
