--- a/packages/node/src/bronzepoint_node/agreement/_errors.py
+++ b/packages/node/src/bronzepoint_node/agreement/_errors.py
@@ -7,10 +7,10 @@
     """Base class of all errors of the replicated catalogue.
 
     Attributes:
-        ran_unknown: Whether the change may still be applied.
+        outcome_unknown: Whether the change may still be applied.
     """
 
-    ran_unknown = False
+    outcome_unknown = False
 
 
 class NotLeader(AgreementError):
@@ -27,7 +27,7 @@
 class NoQuorum(AgreementError):
     """The change was sent to a voter but its outcome didn't arrive in time."""
 
-    ran_unknown = True
+    outcome_unknown = True
 
     def __init__(self, change_id: ChangeId) -> None:
         self.change_id = change_id
--- a/packages/node/src/bronzepoint_node/entry/_admin_endpoints.py
+++ b/packages/node/src/bronzepoint_node/entry/_admin_endpoints.py
@@ -228,5 +228,5 @@
             )
         case InitialiseRefused():
             return refused(RefusalKind.not_ready, message, remedy, RETRY_CHANGE)
-    ran = Ran.unknown if exc.ran_unknown else Ran.no
+    ran = Ran.unknown if exc.outcome_unknown else Ran.no
     return refused(RefusalKind.bad_request, message, remedy, ran=ran)
