--- a/packages/node/src/bronzepoint_node/membership/_membership.py
+++ b/packages/node/src/bronzepoint_node/membership/_membership.py
@@ -187,7 +187,7 @@
         """Register a callback, called once when no directory lists this host."""
         self._draining.on_drain_acknowledged(callback)
 
-    def tell_notice(self, notice: TargetNotice) -> None:
+    def report_notice(self, notice: TargetNotice) -> None:
         """Send a notice of a target to the hosts of the region."""
         self._gossip.merge_notices([notice])
 
--- a/packages/node/src/bronzepoint_node/targets/_targets.py
+++ b/packages/node/src/bronzepoint_node/targets/_targets.py
@@ -330,7 +330,7 @@
                 target=notice.target,
                 source=notice.source,
             )
-            self._membership.tell_notice(notice)
+            self._membership.report_notice(notice)
 
 
 def _make_status(
--- a/tests/test_membership_gossip.py
+++ b/tests/test_membership_gossip.py
@@ -124,7 +124,7 @@
             for name, member in group.members.items():
                 member.on_notice(lambda _, name=name: insort(receivers, name))
             notice = TargetNotice("engine-1", leaving=True, as_of=time.time())
-            group.members["bkk-0"].tell_notice(notice)
+            group.members["bkk-0"].report_notice(notice)
             await until(lambda: receivers == ["bkk-0", "bkk-1", "bkk-2"])
 
         run_group(Group(REGION), scenario)
