--- a/packages/node/src/bronzepoint_node/membership/_gossip.py
+++ b/packages/node/src/bronzepoint_node/membership/_gossip.py
@@ -7,14 +7,14 @@
 
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import Area, PeerError, Peers
-from bronzepoint_node.membership._host_table import HostTable
-from bronzepoint_node.membership._notice_table import NoticeTable
-from bronzepoint_node.membership._partners import Partners
-from bronzepoint_node.membership._pulse import (
+from bronzepoint_node.membership._heartbeat import (
     Heartbeat,
     pack_heartbeats,
     unpack_heartbeats,
 )
+from bronzepoint_node.membership._host_table import HostTable
+from bronzepoint_node.membership._notice_table import NoticeTable
+from bronzepoint_node.membership._partners import Partners
 from bronzepoint_node.membership._region_table import RegionTable
 from bronzepoint_node.membership._running_clock import RunningClock
 from bronzepoint_node.membership._views import HostState
--- a/packages/node/src/bronzepoint_node/membership/_host_table.py
+++ b/packages/node/src/bronzepoint_node/membership/_host_table.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bronzepoint_node.membership._pulse import (
+from bronzepoint_node.membership._heartbeat import (
     Heartbeat,
     HeartbeatFlag,
     HostId,
--- a/packages/node/src/bronzepoint_node/membership/_host_views.py
+++ b/packages/node/src/bronzepoint_node/membership/_host_views.py
@@ -1,7 +1,7 @@
 """Combined view of the hosts for the other components of the process."""
 
+from bronzepoint_node.membership._heartbeat import expand_revision
 from bronzepoint_node.membership._host_table import HostTable
-from bronzepoint_node.membership._pulse import expand_revision
 from bronzepoint_node.membership._region_table import RegionTable
 from bronzepoint_node.membership._running_clock import RunningClock
 from bronzepoint_node.membership._views import HostInfo, HostState
--- a/packages/node/src/bronzepoint_node/membership/_membership.py
+++ b/packages/node/src/bronzepoint_node/membership/_membership.py
@@ -11,10 +11,10 @@
 from bronzepoint_common.peers import Area, Peers
 from bronzepoint_node.membership._draining import Draining
 from bronzepoint_node.membership._gossip import Gossip
+from bronzepoint_node.membership._heartbeat import HeartbeatFlag
 from bronzepoint_node.membership._host_table import HostTable
 from bronzepoint_node.membership._host_views import HostViews
 from bronzepoint_node.membership._notice_table import NoticeTable
-from bronzepoint_node.membership._pulse import HeartbeatFlag
 from bronzepoint_node.membership._region_reporter import RegionReporter
 from bronzepoint_node.membership._region_table import RegionTable
 from bronzepoint_node.membership._running_clock import RunningClock
--- a/packages/node/src/bronzepoint_node/orders/_orders.py
+++ b/packages/node/src/bronzepoint_node/orders/_orders.py
@@ -18,8 +18,8 @@
 )
 from bronzepoint_node.orders._held import HeldLease
 from bronzepoint_node.orders._numbers import OrderNumbers
-from bronzepoint_node.orders._pace import LoadRateLimiter
 from bronzepoint_node.orders._plan import EngineView, Plan, plan_steps
+from bronzepoint_node.orders._rate_limiter import LoadRateLimiter
 from bronzepoint_node.orders._wanted import WantedEngine, wanted_engines
 from bronzepoint_schema.generated.catalogue import CatalogueItem, OrderProtocol
 from bronzepoint_schema.generated.orders import EnginePhase, OrdersStatus
--- a/packages/node/src/bronzepoint_node/run_once/_recovery.py
+++ b/packages/node/src/bronzepoint_node/run_once/_recovery.py
@@ -8,10 +8,10 @@
 from bronzepoint_common.logs import get_logger
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import PeerError
-from bronzepoint_node.run_once._knowledge import PeerState, VotingRights
 from bronzepoint_node.run_once._owners import Owners, fingerprint
 from bronzepoint_node.run_once._replica import Replica
 from bronzepoint_node.run_once._replica_log import ReplicaLog
+from bronzepoint_node.run_once._voting_rights import PeerState, VotingRights
 from bronzepoint_schema.generated.run_once import Page, PeerIncarnation, Read
 from bronzepoint_schema.ids import HostName
 
--- a/packages/node/src/bronzepoint_node/run_once/_replica.py
+++ b/packages/node/src/bronzepoint_node/run_once/_replica.py
@@ -5,9 +5,9 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.run_once._ballots import rank
 from bronzepoint_node.run_once._keys import KeyWindow
-from bronzepoint_node.run_once._knowledge import VotingRights
 from bronzepoint_node.run_once._owners import Owners, fingerprint
 from bronzepoint_node.run_once._replica_log import LogRecord
+from bronzepoint_node.run_once._voting_rights import VotingRights
 from bronzepoint_schema.generated.run_once import (
     Accept,
     Phase,
--- a/packages/node/src/bronzepoint_node/run_once/_run_once.py
+++ b/packages/node/src/bronzepoint_node/run_once/_run_once.py
@@ -15,7 +15,6 @@
 from bronzepoint_node.run_once._claims import Claims
 from bronzepoint_node.run_once._clock import Clock
 from bronzepoint_node.run_once._keys import KeyWindow, new_key, parse_key
-from bronzepoint_node.run_once._knowledge import VotingRights
 from bronzepoint_node.run_once._outcomes import Outcomes
 from bronzepoint_node.run_once._owners import Owners
 from bronzepoint_node.run_once._proposer import Proposer
@@ -23,6 +22,7 @@
 from bronzepoint_node.run_once._replica import Replica
 from bronzepoint_node.run_once._replica_log import LogRecord, ReplicaLog
 from bronzepoint_node.run_once._results import ClaimResult, ClaimToken
+from bronzepoint_node.run_once._voting_rights import VotingRights
 from bronzepoint_schema.generated import run_once as messages
 from bronzepoint_schema.generated.run_once import (
     Identity,
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -8,10 +8,7 @@
 
 from bronzepoint_common.rendezvous import rendezvous_order
 from bronzepoint_node.membership import HostInfo, HostState, RunningClock
-from bronzepoint_node.membership._host_table import HostTable
-from bronzepoint_node.membership._notice_table import NOTICE_LIFETIME, NoticeTable
-from bronzepoint_node.membership._partners import Partners
-from bronzepoint_node.membership._pulse import (
+from bronzepoint_node.membership._heartbeat import (
     HeartbeatFlag,
     expand_revision,
     make_heartbeat,
@@ -19,6 +16,9 @@
     pack_heartbeats,
     unpack_heartbeats,
 )
+from bronzepoint_node.membership._host_table import HostTable
+from bronzepoint_node.membership._notice_table import NOTICE_LIFETIME, NoticeTable
+from bronzepoint_node.membership._partners import Partners
 from bronzepoint_node.membership._region_table import INCOMPLETE, RegionTable
 from bronzepoint_schema.generated.membership import (
     HostRecord,
