--- a/packages/common/src/bronzepoint_common/loop_watch.py
+++ b/packages/common/src/bronzepoint_common/loop_lag_monitor.py
@@ -19,7 +19,7 @@
 _log = get_logger("loop")
 
 
-class LoopWatch:
+class LoopLagMonitor:
     """Measures how late a periodic timer of this process fires.
 
     The processor time used in the meantime shows the cause: it is close to the delay
@@ -68,4 +68,4 @@
             )
 
 
-__all__ = ["LoopWatch"]
+__all__ = ["LoopLagMonitor"]
--- a/packages/node/src/bronzepoint_node/_daemon.py
+++ b/packages/node/src/bronzepoint_node/_daemon.py
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.http import HttpClient, HttpLimits, HttpServer
 from bronzepoint_common.logs import JsonLinesHandler, get_logger
-from bronzepoint_common.loop_watch import LoopWatch
+from bronzepoint_common.loop_lag_monitor import LoopLagMonitor
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import Peers
 from bronzepoint_common.settings import cluster_key
@@ -107,7 +107,7 @@
         )
         self._gateway = Gateway(settings, self._dependencies())
         self._components: list[Component] = [
-            LoopWatch(self._metrics),
+            LoopLagMonitor(self._metrics),
             self._membership,
             self._catalogue,
             self._agreement,
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_lag_monitor.py
@@ -7,7 +7,11 @@
 import logbook
 from nose2.tools import params
 
-from bronzepoint_common.loop_watch import INTERVAL, MIN_LOGGED_DELAY, LoopWatch
+from bronzepoint_common.loop_lag_monitor import (
+    INTERVAL,
+    MIN_LOGGED_DELAY,
+    LoopLagMonitor,
+)
 from bronzepoint_common.metrics import Metrics
 
 BLOCK_TIME = 2 * (INTERVAL + MIN_LOGGED_DELAY)
@@ -29,12 +33,12 @@
 
     async def main():
         metrics = Metrics()
-        loop_watch = LoopWatch(metrics)
-        await loop_watch.start()
+        loop_lag_monitor = LoopLagMonitor(metrics)
+        await loop_lag_monitor.start()
         await curio.sleep(0.01)
         block()
         await curio.sleep(0.01)
-        await loop_watch.close()
+        await loop_lag_monitor.close()
         return metrics.percentiles()["loop.late_ms.max"]
 
     with logbook.TestHandler() as handler:
@@ -43,7 +47,7 @@
     return lines, longest
 
 
-class TestLoopWatch(unittest.TestCase):
+class TestLoopLagMonitor(unittest.TestCase):
     @params((block_asleep, False), (block_busy, True))
     def test_line_shows_whether_the_process_itself_was_busy(self, block, busy):
         (line,), longest = watch(block)
