--- a/packages/common/src/bronzepoint_common/turns.py
+++ b/packages/common/src/bronzepoint_common/turns.py
@@ -6,7 +6,7 @@
 Item = TypeVar("Item")
 
 
-def take_turn(items: Sequence[Item], start: int, max_items: int) -> list[Item]:
+def rotating_slice(items: Sequence[Item], start: int, max_items: int) -> list[Item]:
     """Return items from a position on, wrapping around at the end.
 
     Args:
@@ -21,4 +21,4 @@
     return [*items[start:], *items[:start]][:max_items]
 
 
-__all__ = ["take_turn"]
+__all__ = ["rotating_slice"]
--- a/packages/node/src/bronzepoint_node/core/_core_sync.py
+++ b/packages/node/src/bronzepoint_node/core/_core_sync.py
@@ -6,7 +6,7 @@
 from bronzepoint_common.documents import NO_BASE
 from bronzepoint_common.logs import get_logger
 from bronzepoint_common.peers import Area, Peers
-from bronzepoint_common.turns import take_turn
+from bronzepoint_common.turns import rotating_slice
 from bronzepoint_node.agreement import SeededAgreement
 from bronzepoint_node.fleet import COLLECTOR_ORDER, MAX_CRASH_CASES, Registry
 from bronzepoint_node.quarantine import MIN_CRASHES_SUSPECT, CrashTable
@@ -192,7 +192,7 @@
         if len(core) <= MAX_HOSTS_PER_NOTICE:
             return core
         others = [host for host in core if host.name != self._name]
-        next_hosts = take_turn(others, self._turn, MAX_HOSTS_PER_NOTICE - 1)
+        next_hosts = rotating_slice(others, self._turn, MAX_HOSTS_PER_NOTICE - 1)
         self._turn += len(next_hosts)
         return [host for host in core if host.name == self._name] + next_hosts
 
--- a/packages/node/src/bronzepoint_node/placement/_load_collector.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_collector.py
@@ -2,7 +2,7 @@
 
 import math
 
-from bronzepoint_common.turns import take_turn
+from bronzepoint_common.turns import rotating_slice
 from bronzepoint_schema.generated.target_loads import (
     LoadNotice,
     NoticeKind,
@@ -95,7 +95,7 @@
         targets = self._table.all()
         start = self._offsets.get(host, 0)
         self._offsets[host] = start + MAX_REPORTED
-        return take_turn(targets, start, MAX_REPORTED)
+        return rotating_slice(targets, start, MAX_REPORTED)
 
     def _responsiveness_changes(self, now: float) -> list[TrackedTarget]:
         """Return the engines that have become unresponsive or responsive again."""
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_table.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 
 from bronzepoint_common.logs import get_logger
-from bronzepoint_common.turns import take_turn
+from bronzepoint_common.turns import rotating_slice
 from bronzepoint_schema.generated.quarantine import CrashCase
 from bronzepoint_schema.ids import Fingerprint
 
@@ -199,9 +199,9 @@
         ]
         turn = int(now / ROTATION_INTERVAL)
         capacity = max_cases - len(selected)
-        selected += take_turn(recent, turn * capacity, capacity)
+        selected += rotating_slice(recent, turn * capacity, capacity)
         capacity = min(MAX_SETTLED, max_cases - len(selected))
-        selected += take_turn(settled, turn * capacity, capacity)
+        selected += rotating_slice(settled, turn * capacity, capacity)
         return [record.to_message(now) for record in selected]
 
     def _prioritised(
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -4,7 +4,7 @@
 
 from nose2.tools import params
 
-from bronzepoint_common.turns import take_turn
+from bronzepoint_common.turns import rotating_slice
 
 
 class TestTurns(unittest.TestCase):
@@ -18,10 +18,12 @@
         ("", 4, 2, ""),
     )
     def test_items_from_a_position(self, items, start, max_items, expected):
-        self.assertEqual("".join(take_turn(items, start, max_items)), expected)
+        self.assertEqual("".join(rotating_slice(items, start, max_items)), expected)
 
     def test_successive_slices_cover_all_items(self):
-        seen = [item for turn in range(5) for item in take_turn(range(9), 2 * turn, 2)]
+        seen = [
+            item for turn in range(5) for item in rotating_slice(range(9), 2 * turn, 2)
+        ]
         self.assertEqual(set(seen), set(range(9)))
 
 
