--- a/packages/common/src/bronzepoint_common/http/_exchange.py
+++ b/packages/common/src/bronzepoint_common/http/_exchange.py
@@ -61,7 +61,7 @@
         self._next_event()  # the end of the message, available immediately
         return b""
 
-    def say_last(self) -> None:
+    def announce_close(self) -> None:
         """Announce in the answer that the connection closes after it."""
         self._last = True
 
--- a/packages/common/src/bronzepoint_common/http/_server_connection.py
+++ b/packages/common/src/bronzepoint_common/http/_server_connection.py
@@ -59,7 +59,7 @@
         """Close after the exchange in progress, or after the next one."""
         self._closing = True
         if self._exchange is not None:
-            self._exchange.say_last()
+            self._exchange.announce_close()
 
     def close_if_idle(self) -> None:
         """Close if no exchange is in progress; requests received so far are served."""
--- a/packages/node/src/bronzepoint_node/entry/_gateway.py
+++ b/packages/node/src/bronzepoint_node/entry/_gateway.py
@@ -100,7 +100,7 @@
     async def handle(self, exchange: Exchange) -> None:
         """Handle one HTTP request."""
         if self.state is not GatewayState.live:
-            exchange.say_last()
+            exchange.announce_close()
         try:
             route = route_of(exchange.request)
             match route:
--- a/packages/node/src/bronzepoint_node/relay/_answer_writer.py
+++ b/packages/node/src/bronzepoint_node/relay/_answer_writer.py
@@ -111,7 +111,7 @@
 
         Closes the connection, so that the caller retries at another host.
         """
-        exchange.say_last()
+        exchange.announce_close()
         await self.refuse(exchange, head, RejectReason.LAGGING, DEFAULT_RETRY_AFTER)
 
     async def refuse_unauthenticated(
@@ -141,7 +141,7 @@
             key=shown_digest(head.key),
             version=version,
         )
-        exchange.say_last()
+        exchange.announce_close()
         await _send_refusal(exchange, reason, DEFAULT_RETRY_AFTER)
 
     async def answer_late(self, call: Call) -> None:
--- a/tests/test_relay_request_intake.py
+++ b/tests/test_relay_request_intake.py
@@ -47,7 +47,7 @@
         self.is_last = False
         self.has_read = False
 
-    def say_last(self):
+    def announce_close(self):
         self.is_last = True
 
     async def body(self):
