--- a/packages/common/src/bronzepoint_common/peers/_calls.py
+++ b/packages/common/src/bronzepoint_common/peers/_calls.py
@@ -16,14 +16,14 @@
 """Random bits of the first call identifier."""
 _MAX_ABANDONED = 64
 """Maximum number of abandoned calls kept in case a reply arrives late."""
-OnLate = Callable[[Any], None]
+OnLateReply = Callable[[Any], None]
 """Called with a reply that arrived after its call was abandoned."""
 
 
 @dataclass
 class _PendingCall:
     peer: HostName
-    on_late: OnLate | None = None
+    on_late_reply: OnLateReply | None = None
     began: float = field(default_factory=monotonic)
     answered: curio.Event = field(default_factory=curio.Event)
     reply: Envelope | None = None
@@ -36,12 +36,12 @@
     Attributes:
         peer: Host that was called.
         began: Start of the call, in monotonic seconds.
-        on_late: Called with a late reply; None: it is dropped.
+        on_late_reply: Called with a late reply; None: it is dropped.
     """
 
     peer: HostName
     began: float
-    on_late: OnLate | None
+    on_late_reply: OnLateReply | None
 
 
 class Calls:
@@ -56,10 +56,10 @@
         self._pending: dict[int, _PendingCall] = {}
         self._abandoned: OrderedDict[int, AbandonedCall] = OrderedDict()
 
-    def begin(self, peer: HostName, on_late: OnLate | None = None) -> int:
+    def begin(self, peer: HostName, on_late_reply: OnLateReply | None = None) -> int:
         """Register a call and return its identifier."""
         self._next_id += 1
-        self._pending[self._next_id] = _PendingCall(peer, on_late)
+        self._pending[self._next_id] = _PendingCall(peer, on_late_reply)
         return self._next_id
 
     async def wait(self, call_id: int) -> Envelope:
@@ -74,7 +74,7 @@
         pending = self._pending.pop(call_id, None)
         if pending is None or pending.reply is not None:
             return
-        abandoned = AbandonedCall(pending.peer, pending.began, pending.on_late)
+        abandoned = AbandonedCall(pending.peer, pending.began, pending.on_late_reply)
         self._abandoned[call_id] = abandoned
         while len(self._abandoned) > _MAX_ABANDONED:
             self._abandoned.popitem(last=False)
--- a/packages/common/src/bronzepoint_common/peers/_peers.py
+++ b/packages/common/src/bronzepoint_common/peers/_peers.py
@@ -13,7 +13,7 @@
 from bronzepoint_common.logs import get_logger
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers._area import Area
-from bronzepoint_common.peers._calls import Calls, OnLate
+from bronzepoint_common.peers._calls import Calls, OnLateReply
 from bronzepoint_common.peers._errors import (
     PeerFailed,
     PeerTimeout,
@@ -145,7 +145,7 @@
         area: Area,
         message: Any,
         timeout: float,
-        on_late: OnLate | None = None,
+        on_late_reply: OnLateReply | None = None,
     ) -> Any:
         """Send a message and return the peer's reply.
 
@@ -154,7 +154,7 @@
             area: The subsystem that replies.
             message: The message.
             timeout: Seconds to wait for the reply.
-            on_late: Called with a reply that arrives later; None: it is dropped.
+            on_late_reply: Called with a reply that arrives later; None: it is dropped.
 
         Raises:
             PeerError: One of its subclasses; after PeerTimeout and PeerFailed the
@@ -162,7 +162,7 @@
         """
         if self._outbox(peer) is None:
             raise PeerUnknown(peer)
-        call_id = self._calls.begin(peer, on_late)
+        call_id = self._calls.begin(peer, on_late_reply)
         try:
             self._send(peer, FrameKind.call, area, call_id, message)
             async with curio.ignore_after(timeout):
@@ -263,7 +263,7 @@
         await inbox.put(envelope)
 
     def _handle_late_reply(self, envelope: Envelope) -> None:
-        """Count a late reply, and pass it to the `on_late` function of its call.
+        """Count a late reply, and pass it to the `on_late_reply` function of its call.
 
         If it were dropped, a reply that always takes longer than its timeout would be
         requested endlessly, and use the same bandwidth each time.
@@ -278,10 +278,10 @@
             bytes=len(envelope.payload),
             seconds=round(monotonic() - call.began, 3) if call else None,
         )
-        if call is None or call.on_late is None:
+        if call is None or call.on_late_reply is None:
             return
         try:
-            call.on_late(self._decode_reply(envelope))
+            call.on_late_reply(self._decode_reply(envelope))
         except PeerFailed as exc:
             _log.warning("late answer not used", reason=str(exc))
 
--- a/tests/_link_model.py
+++ b/tests/_link_model.py
@@ -48,7 +48,7 @@
     def pass_time(self, seconds):
         self._now += seconds
 
-    async def call(self, peer, area, message, timeout, on_late=None):
+    async def call(self, peer, area, message, timeout, on_late_reply=None):
         await self._on_time(self._now)
         answer = _encoder.encode(await self._handle("h", message))
         self.carried += len(answer)
--- a/tests/test_fleet_knowledge.py
+++ b/tests/test_fleet_knowledge.py
@@ -135,7 +135,7 @@
     def register(self, area, union, handler):
         pass
 
-    async def call(self, peer, area, message, timeout, on_late=None):
+    async def call(self, peer, area, message, timeout, on_late_reply=None):
         self.queried.append(peer)
         if peer not in self.answers:
             raise PeerTimeout(peer, timeout)
