--- a/packages/common/src/bronzepoint_common/documents/_history.py
+++ b/packages/common/src/bronzepoint_common/documents/_history.py
@@ -26,7 +26,7 @@
     Args:
         version: Initial version; `NO_BASE`: none.
         content: Initial document.
-        kept_bytes: Maximum bytes of deltas that are kept.
+        max_delta_bytes: Maximum bytes of deltas that are kept.
 
     Attributes:
         version: Current version.
@@ -37,11 +37,11 @@
         self,
         version: int = NO_BASE,
         content: bytes = b"",
-        kept_bytes: int = MAX_DELTA_BYTES,
+        max_delta_bytes: int = MAX_DELTA_BYTES,
     ) -> None:
         self.version = version
         self.content = content
-        self._kept_bytes = kept_bytes
+        self._max_delta_bytes = max_delta_bytes
         self._deltas: deque[DocumentDelta] = deque()
         self._bytes = 0
 
@@ -94,6 +94,6 @@
         else:
             self._deltas.append(delta)
             self._bytes += len(delta.pieces)
-        while self._bytes > self._kept_bytes:
+        while self._bytes > self._max_delta_bytes:
             self._bytes -= len(self._deltas.popleft().pieces)
         self.version, self.content = delta.version, content
--- a/packages/node/src/bronzepoint_node/fleet/_document_copy.py
+++ b/packages/node/src/bronzepoint_node/fleet/_document_copy.py
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.transfer = DocumentTransfer()
-        self._documents = DocumentHistory(kept_bytes=0)
+        self._documents = DocumentHistory(max_delta_bytes=0)
         self._sender: HostName | None = None
 
     @property
@@ -82,7 +82,7 @@
                 self._documents.take(delta)
         except (DeltaMismatch, UnknownBase, msgspec.MsgspecError) as exc:
             # The held document may be the damaged one, so a whole one is requested.
-            self._documents = DocumentHistory(kept_bytes=0)
+            self._documents = DocumentHistory(max_delta_bytes=0)
             _log.error("document not read", core=core, reason=str(exc))
             return False
         return True
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -75,7 +75,7 @@
             DocumentHistory(2, large_manifest(2, 5)).take(last)
 
     def test_old_deltas_are_dropped(self):
-        small = DocumentHistory(kept_bytes=1000)
+        small = DocumentHistory(max_delta_bytes=1000)
         for version in range(1, 100):
             small.replace(version, large_manifest(version, 5, {version % 5}))
         self.assertIsNone(small.since(1))
