--- a/packages/cli/src/bronzepoint_cli/explain/__init__.py
+++ b/packages/cli/src/bronzepoint_cli/explain/__init__.py
@@ -2,7 +2,7 @@
 
 from bronzepoint_cli.explain._causes import REFUSALS, TRY_ENDS, find_cause
 from bronzepoint_cli.explain._log_lines import LogLine, read_log_lines
-from bronzepoint_cli.explain._story import (
+from bronzepoint_cli.explain._timeline import (
     RequestTimeline,
     build_timeline,
     processing_started_at,
--- a/packages/cli/src/bronzepoint_cli/explain/_causes.py
+++ b/packages/cli/src/bronzepoint_cli/explain/_causes.py
@@ -5,7 +5,7 @@
 from itertools import groupby
 
 from bronzepoint_cli.explain._log_lines import LogLine
-from bronzepoint_cli.explain._story import RequestTimeline
+from bronzepoint_cli.explain._timeline import RequestTimeline
 
 REFUSALS: Mapping[str, str] = {
     "no_catalogue": "the host had no confirmed catalogue yet",
