--- a/tests/test_membership_gossip.py
+++ b/tests/test_membership_gossip.py
@@ -34,7 +34,7 @@
 
         run_group(Group(REGION, seeds=["bkk-0"]), scenario)
 
-    def test_stopped_host_is_noticed_and_live_again_after_it_woke(self) -> None:
+    def test_stopped_host_is_dead_and_live_again_after_it_resumes(self) -> None:
         """A host that stops without closing its connections must be detected.
 
         After SIGSTOP, or a partition that drops packets, no connection is reset. Only
@@ -54,7 +54,7 @@
 
         run_group(Group(REGION), scenario)
 
-    def test_restarted_host_supersedes_itself(self) -> None:
+    def test_restarted_host_replaces_its_earlier_incarnation(self) -> None:
         """A host that is killed and restarted immediately must be seen as live.
 
         Its counter restarts at 1, below the value that the others know. Without the
@@ -174,7 +174,7 @@
 
         run_group(Group(TWO_REGIONS), scenario)
 
-    def test_regions_meet_again_though_all_listed_hosts_were_replaced(self) -> None:
+    def test_regions_reconnect_after_all_listed_hosts_were_replaced(self) -> None:
         """Regions reconnect after a partition in which both replaced their hosts.
 
         Each region holds a list of hosts of the other that no longer exist. If reports
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -75,7 +75,7 @@
 
 
 class TestShutdown(HostCase):
-    def test_sigterm_cuts_no_stream_and_the_directory_forgets_first(
+    def test_sigterm_truncates_no_stream_and_the_directory_is_updated_first(
         self,
     ) -> None:
         """A host gets SIGTERM while callers read streamed answers.
@@ -109,7 +109,7 @@
             self.assertEqual(len(events), TOKENS + 1)
         self.assertEqual(self.deployment.process("bkk-1").wait(30.0), 0)
 
-    def test_drained_host_refuses_new_callers_once_nobody_names_it(self) -> None:
+    def test_drained_host_refuses_new_callers_once_no_host_lists_it(self) -> None:
         """An operator drains a host that still has streams in progress.
 
         If it were only removed from the directories, callers that know it would keep
@@ -149,7 +149,7 @@
         for other in self.others:
             self.assertNotIn("bkk-2", self.listed(other))
 
-    def test_frozen_host_is_not_named_until_it_wakes(self) -> None:
+    def test_frozen_host_is_not_listed_until_it_resumes(self) -> None:
         """A host stopped by SIGSTOP must not be listed for callers.
 
         Its connections stay open, so only the missing heartbeats show that it does
@@ -160,7 +160,7 @@
         self.deployment.thaw("bkk-2")
         self.wait_listed("bkk-2", self.others, listed=True)
 
-    def test_host_that_wakes_takes_no_one_for_dead(self) -> None:
+    def test_host_that_resumes_considers_no_host_dead(self) -> None:
         """A host that resumes after a stop must not consider all others dead.
 
         It is partitioned, so that no message waits for it, and stopped for longer
@@ -179,7 +179,7 @@
 class TestPartition(HostCase):
     proxied = True
 
-    def test_isolated_region_names_and_serves_its_own(self) -> None:
+    def test_isolated_region_lists_and_serves_its_own_hosts(self) -> None:
         """A region is partitioned from the others by links that drop all packets.
 
         The last reports of the other regions are still in memory; without a check of
@@ -204,7 +204,7 @@
             "the other regions are listed again",
         )
 
-    def test_host_cut_off_from_its_region_serves_on_and_rejoins(self) -> None:
+    def test_partitioned_host_still_serves_and_rejoins(self) -> None:
         """One host is partitioned from the others of its region in both directions.
 
         It must still serve its callers, so it must not need the others for that. After
--- a/tests/test_orders_engines.py
+++ b/tests/test_orders_engines.py
@@ -126,7 +126,7 @@
 
 
 class FaultTest(unittest.TestCase):
-    def test_weight_store_is_not_overrun(self):
+    def test_weight_store_refuses_few_loads(self):
         """The common rate limit must keep refusals of the weight store low.
 
         Without it, each refused engine gets a new order at the next poll, which led
@@ -194,7 +194,7 @@
             curio.run(main, site)
 
     @params(OrderCheck.fenced, OrderCheck.unfenced)
-    def test_slow_fetch_is_not_begun_anew(self, check):
+    def test_slow_fetch_is_not_restarted(self, check):
         """A resent order must not restart a fetch that is slower than the timeout.
 
         If each resend had a newer number, the engine would cancel its previous fetch
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -29,7 +29,7 @@
     return dep.operator(host).client.get("/v1/admin/orders").json()["holder"]
 
 
-class TakeOverTest(unittest.TestCase):
+class TakeoverTest(unittest.TestCase):
     def declare(self, dep, host, item_version, model_version):
         item = next(item for item in dep.catalogue() if item.name == "clinic")
         changed = msgspec.structs.replace(
@@ -37,7 +37,7 @@
         )
         dep.operator(host).put(changed)
 
-    def test_frozen_holder_changes_nothing_after_it_wakes(self):
+    def test_frozen_holder_changes_nothing_after_it_resumes(self):
         """A frozen holder must not make an engine go back to a replaced version.
 
         The holder is partitioned and frozen for longer than its lease, and another
--- a/tests/test_orders_stale_holder.py
+++ b/tests/test_orders_stale_holder.py
@@ -83,7 +83,7 @@
         (OrderCheck.fenced, "refusal.order_fenced", 600.0),
         (OrderCheck.unfenced, "retry.order_unanswered", IDLE_TIMEOUT),
     )
-    def test_stale_order_does_nothing(self, check, outcome, idle_timeout):
+    def test_stale_order_is_not_accepted(self, check, outcome, idle_timeout):
         """A fenced engine refuses the order; others have closed the connection."""
         fields = {"check": check, "idle_timeout": idle_timeout, "slots": 1}
         with tempfile.TemporaryDirectory() as folder, engines(2, **fields) as site:
@@ -92,7 +92,7 @@
             self.assertEqual(run_takeover(site, stale.resume), outcome)
             self.assertNotIn("2", versions_taken(site))
 
-    def test_stale_order_that_comes_through_is_mended(self):
+    def test_accepted_stale_order_is_corrected(self):
         """An engine neither checks fencing numbers nor closes idle connections.
 
         It accepts the stale order. The new holder must detect the reported version
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -77,7 +77,7 @@
         self.assertGreater(good, 0)
 
     @params(("crash", "whole", 3), ("break", "cut", 2))
-    def test_targets_that_ended_do_not_count_as_attempts(self, action, end, arrivals):
+    def test_crashed_targets_do_not_count_as_attempts(self, action, end, arrivals):
         """Guards against giving up a stream that another target could resume.
 
         Two targets crash in turn, and the route allows two attempts. Crashed targets
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -12,7 +12,7 @@
 
 class TestSoak(unittest.TestCase):
     @params((1, 0), (2, 1700))
-    def test_no_promise_is_broken(self, seed, routes):
+    def test_no_guarantee_is_broken(self, seed, routes):
         """Guards against faults that no other test covers.
 
         Hosts are killed, suspended, terminated and wiped, and targets fail, in an order
--- a/tests/test_run_once_claims.py
+++ b/tests/test_run_once_claims.py
@@ -219,7 +219,7 @@
         curio.run(main)
 
     @params((False,), (True,))
-    def test_host_that_wakes_up_confirms_its_claim(self, given_up):
+    def test_host_that_resumes_confirms_its_claim(self, given_up):
         """A host that was stopped between claim and dispatch confirms its claim.
 
         Host a claims and is stopped for longer than others wait. If b has reported
--- a/tests/test_run_once_copies.py
+++ b/tests/test_run_once_copies.py
@@ -259,7 +259,7 @@
 
 
 class NewHostTest(unittest.TestCase):
-    def test_former_owners_and_new_ones_never_both_agree(self):
+    def test_previous_and_new_owners_never_both_agree(self):
         """Hosts are added while some hosts don't have them on their lists yet.
 
         Hosts a, b and c own every key; x and y join, and only a learns of them. For a
--- a/tests/test_run_once_processes.py
+++ b/tests/test_run_once_processes.py
@@ -126,7 +126,7 @@
             self.assertEqual((again.status, again.body), (200, first.body))
         self.assertEqual(call.runs(), 1)
 
-    def test_caller_left(self):
+    def test_caller_timed_out(self):
         """The caller times out and resends while the first run is in progress."""
         deployment = self.deploy()
         deployment.set_faults(SERVICE, slow=SLOW)
@@ -141,7 +141,7 @@
         call.wait_answered("bkk-2")
         self.assertEqual(call.runs(), 1)
 
-    def test_cut_answer_is_not_run_again(self):
+    def test_truncated_answer_is_not_run_again(self):
         """The service ran the call, but its answer was truncated in transit."""
         deployment = self.deploy()
         deployment.set_faults(SERVICE, cut_after=0)
@@ -230,7 +230,7 @@
 
         wait_until(stored, "bkk-2 has stored the claim")
 
-    def test_cut_link(self):
+    def test_partitioned_host(self):
         """The host that receives the call is partitioned from all other replicas.
 
         It refuses the call and nothing runs. The same key is served by another host,
@@ -257,7 +257,7 @@
             self.assertEqual(reply.status, 200, reply.body)
         self.assertEqual(call.runs(), 1)
 
-    def test_copies_lost_in_turn(self):
+    def test_replicas_lost_one_after_another(self):
         """Every replica is wiped, each after the previous one has recovered."""
         deployment = self.deploy()
         call = Call(deployment)
@@ -271,7 +271,7 @@
             self.assertEqual(call.wait_answered(host).body, first.body)
         self.assertEqual(call.runs(), 1)
 
-    def test_second_copy_lost_before_the_first_recovered(self):
+    def test_second_replica_lost_before_the_first_recovered(self):
         """Two of three replicas are wiped, so it is unknown whether the call ran."""
         deployment = self.deploy()
         call = Call(deployment)
