--- a/packages/node/src/bronzepoint_node/_daemon.py
+++ b/packages/node/src/bronzepoint_node/_daemon.py
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.http import HttpClient, HttpLimits, HttpServer
 from bronzepoint_common.logs import JsonLinesHandler, get_logger
-from bronzepoint_common.loop_watch import LoopWatch
+from bronzepoint_common.loop_lag_monitor import LoopLagMonitor
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import Peers
 from bronzepoint_common.settings import cluster_key
@@ -19,7 +19,7 @@
 from bronzepoint_node.catalogue import Catalogue
 from bronzepoint_node.decisions import Decisions
 from bronzepoint_node.directory import Directory
-from bronzepoint_node.entry import Collaborators, Gateway
+from bronzepoint_node.entry import Dependencies, Gateway
 from bronzepoint_node.membership import Membership
 from bronzepoint_node.orders import Orders
 from bronzepoint_node.policy import Policy, RegionHosts
@@ -107,7 +107,7 @@
         )
         self._gateway = Gateway(settings, self._dependencies())
         self._components: list[Component] = [
-            LoopWatch(self._metrics),
+            LoopLagMonitor(self._metrics),
             self._membership,
             self._catalogue,
             self._agreement,
@@ -181,8 +181,8 @@
         await component.start()
         self._started.append(component)
 
-    def _dependencies(self) -> Collaborators:
-        return Collaborators(
+    def _dependencies(self) -> Dependencies:
+        return Dependencies(
             catalogue=self._catalogue.view,
             membership=self._membership,
             directory=Directory(
--- a/packages/node/src/bronzepoint_node/core/_core_hub.py
+++ b/packages/node/src/bronzepoint_node/core/_core_sync.py
@@ -6,7 +6,7 @@
 from bronzepoint_common.documents import NO_BASE
 from bronzepoint_common.logs import get_logger
 from bronzepoint_common.peers import Area, Peers
-from bronzepoint_common.turns import take_turn
+from bronzepoint_common.turns import rotating_slice
 from bronzepoint_node.agreement import SeededAgreement
 from bronzepoint_node.fleet import COLLECTOR_ORDER, MAX_CRASH_CASES, Registry
 from bronzepoint_node.quarantine import MIN_CRASHES_SUSPECT, CrashTable
@@ -23,8 +23,8 @@
 from bronzepoint_schema.ids import HostName, RegionName
 
 from ._document_feed import DocumentFeed
-from ._hosts_for import HostOrderCache, count_ready_hosts, visible_hosts
 from ._target_reader import TargetReader
+from ._visible_hosts import HostOrderCache, count_ready_hosts, visible_hosts
 
 NOTICE_INTERVAL = 0.5
 """Seconds between two notices to the other core hosts."""
@@ -41,7 +41,7 @@
 _log = get_logger("core")
 
 
-class CoreHub:
+class CoreSync:
     """Answers syncs of entry hosts and exchanges notices with the other core hosts.
 
     Args:
@@ -86,13 +86,13 @@
         if self._task is not None:
             await self._task.cancel()
 
-    def askers(self) -> list[HostName]:
+    def syncing_hosts(self) -> list[HostName]:
         """Return the entry hosts that sync with this host."""
         return [host.name for host in self._syncing_entries()]
 
-    def tell_loads(self, loads: list[RegionLoad]) -> None:
+    def report_loads(self, loads: list[RegionLoad]) -> None:
         """Send this region's load to the other regions, which forward accordingly."""
-        self.registry.hear_loads(loads)
+        self.registry.merge_loads(loads)
         notice = CoreNotice([], loads, [], [])
         remote_hosts: dict[RegionName, list[HostName]] = {}
         for host in self.registry.core():
@@ -110,16 +110,16 @@
             case SyncRequest():
                 return self._answer(message)
             case CoreNotice():
-                self.registry.hear_entries(message.hosts)
-                self.registry.hear_loads(message.loads)
-                self.registry.hear_core(message.core)
+                self.registry.merge_entries(message.hosts)
+                self.registry.merge_loads(message.loads)
+                self.registry.merge_core(message.core)
                 self._crashes.merge(message.crashes, monotonic())
         return None
 
     def _answer(self, request: SyncRequest) -> SyncReply:
         self._syncing_hosts.add(request.host.name)
-        self.registry.hear_entries([request.host])
-        self.registry.hear_loads(request.loads)
+        self.registry.merge_entries([request.host])
+        self.registry.merge_loads(request.loads)
         now = monotonic()
         self._crashes.merge(request.crashes, now)
         age = self._agreement.confirmed_age()
@@ -158,7 +158,7 @@
         )
 
     def _core(self) -> list[CoreHost]:
-        self.registry.hear_core([CoreHost(self._name, self._region, 0)])
+        self.registry.merge_core([CoreHost(self._name, self._region, 0)])
         return self.registry.core()
 
     async def _send_notices(self) -> None:
@@ -192,7 +192,7 @@
         if len(core) <= MAX_HOSTS_PER_NOTICE:
             return core
         others = [host for host in core if host.name != self._name]
-        next_hosts = take_turn(others, self._turn, MAX_HOSTS_PER_NOTICE - 1)
+        next_hosts = rotating_slice(others, self._turn, MAX_HOSTS_PER_NOTICE - 1)
         self._turn += len(next_hosts)
         return [host for host in core if host.name == self._name] + next_hosts
 
--- a/packages/node/src/bronzepoint_node/entry/_collaborators.py
+++ b/packages/node/src/bronzepoint_node/entry/_dependencies.py
@@ -11,11 +11,11 @@
 from bronzepoint_node.agreement import AgreementStatus
 from bronzepoint_node.membership import HostInfo, RegionSummary
 from bronzepoint_node.policy import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
     RegionView,
+    RemotePlacement,
     RequestView,
     TargetView,
     Ticket,
@@ -106,7 +106,7 @@
     def finish(self, name: TargetName, result: TryResult, seconds: float) -> None:
         """Remove a request from those in progress; its result may eject the target."""
 
-    def note_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
+    def record_answer(self, name: TargetName, headers: Mapping[str, str]) -> None:
         """Update a target's state from the headers of its response."""
 
     def statuses(self) -> list[TargetStatus]:
@@ -127,10 +127,10 @@
     ) -> Placement:
         """Choose the target or region that serves the request."""
 
-    async def try_ended(
+    async def record_try(
         self,
         ticket: Ticket,
-        placement: Home | Away,
+        placement: LocalPlacement | RemotePlacement,
         result: TryResult,
         first_token: float | None,
     ) -> None:
@@ -199,7 +199,7 @@
         """Return the status of the orders for operators."""
 
 
-class Collaborators(Struct, frozen=True):
+class Dependencies(Struct, frozen=True):
     """All components that the request path uses.
 
     Attributes:
--- a/packages/node/src/bronzepoint_node/entry/_gateway.py
+++ b/packages/node/src/bronzepoint_node/entry/_gateway.py
@@ -9,7 +9,7 @@
 from bronzepoint_node.entry._answer_headers import gateway_headers
 from bronzepoint_node.entry._call_handler import CallHandler
 from bronzepoint_node.entry._call_reader import IncomingCall
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._forward_context import context_of
 from bronzepoint_node.entry._http_errors import refusal_of_http_error
 from bronzepoint_node.entry._identity import Identity
@@ -41,7 +41,7 @@
 _log = get_logger("entry")
 
 
-class EntryState(StrEnum):
+class GatewayState(StrEnum):
     """State of this host with respect to new calls; see `Gateway.state`."""
 
     live = "live"
@@ -61,7 +61,7 @@
             connection is closed after its response; ``closed``: calls are refused.
     """
 
-    def __init__(self, settings: Settings, dependencies: Collaborators) -> None:
+    def __init__(self, settings: Settings, dependencies: Dependencies) -> None:
         host = settings.host
         self._identity = Identity(
             host.name,
@@ -74,7 +74,7 @@
         self._call_handler = CallHandler(self._identity, dependencies, self._recorder)
         self._info_endpoints = InfoEndpoints(self._identity, dependencies)
         self._admin_endpoints = AdminEndpoints(self._identity, dependencies)
-        self.state = EntryState.live
+        self.state = GatewayState.live
 
     @property
     def in_progress(self) -> int:
@@ -87,20 +87,20 @@
 
     def drain(self) -> None:
         """Continue to serve calls, but close each connection after its response."""
-        if self.state is EntryState.live:
-            self.state = EntryState.draining
+        if self.state is GatewayState.live:
+            self.state = GatewayState.draining
 
     def refuse_calls(self) -> None:
         """Refuse new calls; calls in progress are completed.
 
         Called at the end of a drain, when the directory no longer lists this host.
         """
-        self.state = EntryState.closed
+        self.state = GatewayState.closed
 
     async def handle(self, exchange: Exchange) -> None:
         """Handle one HTTP request."""
-        if self.state is not EntryState.live:
-            exchange.say_last()
+        if self.state is not GatewayState.live:
+            exchange.announce_close()
         try:
             route = route_of(exchange.request)
             match route:
@@ -136,7 +136,7 @@
             request_id = context.request_id
         trace = RequestTrace(request_id, self._identity.host, self._identity.region)
         try:
-            if self.state is EntryState.closed:
+            if self.state is GatewayState.closed:
                 raise _closed_refusal()
             await self._call_handler.serve(
                 IncomingCall(exchange, route, context, trace)
--- a/packages/node/src/bronzepoint_node/entry/_local_tries.py
+++ b/packages/node/src/bronzepoint_node/entry/_local_tries.py
@@ -5,7 +5,7 @@
 from bronzepoint_node.entry._answer_headers import ECHO_HEADER, gateway_headers
 from bronzepoint_node.entry._call import PRIORITIES
 from bronzepoint_node.entry._catalogue_check import CatalogueCheck
-from bronzepoint_node.entry._collaborators import Collaborators
+from bronzepoint_node.entry._dependencies import Dependencies
 from bronzepoint_node.entry._dispatch_permit import permit_dispatch
 from bronzepoint_node.entry._identity import Identity
 from bronzepoint_node.entry._outcomes import Answered, Failed, Outcome, result_of
@@ -13,7 +13,7 @@
 from bronzepoint_node.entry._served_request import ServedRequest
 from bronzepoint_node.entry._target_answer_check import TargetAnswerCheck
 from bronzepoint_node.entry._upstream import Upstream, UpstreamRequest
-from bronzepoint_node.policy import Home, Ticket
+from bronzepoint_node.policy import LocalPlacement, Ticket
 from bronzepoint_node.run_once import ClaimToken
 from bronzepoint_schema.generated.catalogue import Target
 from bronzepoint_schema.generated.decisions import RetryReason, Try, TryResult
@@ -33,7 +33,7 @@
     def __init__(
         self,
         identity: Identity,
-        dependencies: Collaborators,
+        dependencies: Dependencies,
         check: CatalogueCheck,
         upstream: Upstream,
         recorder: DecisionRecorder,
@@ -48,7 +48,7 @@
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placement: Home,
+        placement: LocalPlacement,
         token: ClaimToken | None,
     ) -> Outcome:
         """Send the request to the chosen target.
@@ -73,14 +73,14 @@
             request.trace.end_try(current_try, result, detail)
             first = outcome.first_byte if isinstance(outcome, Answered) else None
             self._dependencies.targets.finish(name, result, first or 0.0)
-            await self._dependencies.policy.try_ended(ticket, placement, result, first)
+            await self._dependencies.policy.record_try(ticket, placement, result, first)
         return outcome
 
     async def _send(
         self,
         request: ServedRequest,
         ticket: Ticket,
-        placement: Home,
+        placement: LocalPlacement,
         token: ClaimToken | None,
         current_try: Try,
     ) -> Outcome:
@@ -104,7 +104,7 @@
             request.entry,
             request.call.idempotent,
             lambda reason: self._dependencies.policy.may_retry(ticket, reason),
-            lambda headers: self._dependencies.targets.note_answer(name, headers),
+            lambda headers: self._dependencies.targets.record_answer(name, headers),
         )
 
         async def before_last_byte(status: int) -> None:
--- a/packages/node/src/bronzepoint_node/fleet/__init__.py
+++ b/packages/node/src/bronzepoint_node/fleet/__init__.py
@@ -1,34 +1,34 @@
 """State shared by the hosts of a seeded system: hosts, catalogue, targets and loads."""
 
-from ._follower import MAX_CRASH_CASES, Follower
 from ._nearest_core import nearest_core
 from ._organisation import Organisation, Quota, digest_key, shown_digest
 from ._registry import (
     COLLECTOR_ORDER,
     ENTRY_EXPIRY,
-    LAST_RESORT,
     LOAD_EXPIRY,
+    MAX_REPORT_AGE,
     Registry,
 )
 from ._served import (
     CallerLimits,
-    EngineFacts,
+    EngineProperties,
     RouteKind,
     ServedCatalogue,
     ServedRoute,
     ServedService,
     ServiceShare,
 )
+from ._sync_client import MAX_CRASH_CASES, SyncClient
 
 __all__ = [
     "COLLECTOR_ORDER",
     "ENTRY_EXPIRY",
-    "LAST_RESORT",
+    "MAX_REPORT_AGE",
     "LOAD_EXPIRY",
     "MAX_CRASH_CASES",
     "CallerLimits",
-    "EngineFacts",
-    "Follower",
+    "EngineProperties",
+    "SyncClient",
     "Organisation",
     "Quota",
     "Registry",
--- a/packages/node/src/bronzepoint_node/fleet/_registry.py
+++ b/packages/node/src/bronzepoint_node/fleet/_registry.py
@@ -24,7 +24,7 @@
 RESULT_CACHE_TIME = 0.05
 """Seconds for which query results are cached, as each request makes several queries.
 Returned ages may be wrong by this much."""
-LAST_RESORT = 10.0
+MAX_REPORT_AGE = 10.0
 """Seconds for which reports are kept, longer than they count as current. If nothing
 newer is known, using an old report is better than refusing a request."""
 
@@ -65,7 +65,7 @@
 
     def _collect(self, expiry: float, now: float) -> list[Word]:
         for key, (at, _) in list(self._reports.items()):
-            if now - at > LAST_RESORT:
+            if now - at > MAX_REPORT_AGE:
                 del self._reports[key]
         return [
             msgspec.structs.replace(report, age_ms=max(0, int((now - at) * 1000)))
@@ -94,12 +94,12 @@
         )
         self._sizes: dict[RegionName, int] = {}
 
-    def hear_entries(self, hosts: Iterable[EntryHost]) -> None:
+    def merge_entries(self, hosts: Iterable[EntryHost]) -> None:
         """Merge reports on entry hosts, keeping the newer ones."""
         for host in hosts:
             self._entries.merge(host.name, host)
 
-    def hear_core(self, hosts: Iterable[CoreHost]) -> None:
+    def merge_core(self, hosts: Iterable[CoreHost]) -> None:
         """Merge reports on core hosts, keeping the newer ones and known regions."""
         for host in hosts:
             stored = self._core.get(host.name)
@@ -107,7 +107,7 @@
                 host = msgspec.structs.replace(host, region=stored.region)
             self._core.merge(host.name, host)
 
-    def hear_loads(self, loads: Iterable[RegionLoad]) -> None:
+    def merge_loads(self, loads: Iterable[RegionLoad]) -> None:
         """Merge reports on loads, keeping the newer ones."""
         for load in loads:
             self._loads.merge((load.region, load.service), load)
--- a/packages/node/src/bronzepoint_node/fleet/_follower.py
+++ b/packages/node/src/bronzepoint_node/fleet/_sync_client.py
@@ -60,7 +60,7 @@
 _log = get_logger("follower")
 
 
-class Follower:
+class SyncClient:
     """Syncs an entry host with the core, preferably with core hosts of its region.
 
     Args:
@@ -134,7 +134,7 @@
         """Return the seconds since the catalogue was last confirmed as the newest."""
         return monotonic() - self._confirmed_at
 
-    async def tell_now(self) -> None:
+    async def report_now(self) -> None:
         """Sync at once to report a change of this host, such as leaving."""
         await self._query(self._select_core_host())
 
@@ -251,11 +251,11 @@
         """
         has_more = self._apply_versioned(core, reply, began)
         self._apply_targets(reply)
-        self.registry.hear_entries(reply.hosts)
+        self.registry.merge_entries(reply.hosts)
         self.entry_hosts = reply.entry_hosts
         self.registry.note_size(self._region, reply.region_hosts)
-        self.registry.hear_core(reply.core)
-        self.registry.hear_loads(reply.loads)
+        self.registry.merge_core(reply.core)
+        self.registry.merge_loads(reply.loads)
         self.crashes.merge(reply.crashes, monotonic())
         self._notify_listeners()
         return has_more
--- a/packages/node/src/bronzepoint_node/placement/__init__.py
+++ b/packages/node/src/bronzepoint_node/placement/__init__.py
@@ -1,44 +1,44 @@
 """Placement of requests on targets and regions, from the state of one host."""
 
-from ._ask import PlacementAsk, service_of
+from ._ask import PlacementRequest, select_service
 from ._choice import (
-    AtHome,
-    Elsewhere,
-    NoHome,
+    LocalPlacement,
+    NoLocalTarget,
     Placement,
     Rejected,
     RejectReason,
+    RemotePlacement,
 )
-from ._cold_gate import ColdGate
-from ._load_exchange import LoadExchange
-from ._placer import Placer
-from ._prober import (
-    Prober,
+from ._cold_start_limiter import ColdStartLimiter
+from ._engine_poller import (
+    EnginePoller,
     ReadReport,
     ReportOfOtherStart,
     ReportUnavailable,
     ReportUnreadable,
 )
+from ._load_exchange import LoadExchange
+from ._placer import Placer
 from ._prompt import Prompt, PromptPart
 from ._reservations import Reservations
-from ._retry_allowance import RetryAllowance
+from ._retry_budget import RetryBudget
 from ._scheduler import Scheduler
 from ._scheduler_client import SchedulerClient
 from ._service_estimates import ServiceEstimates
 from ._target_table import TargetTable
-from ._tracked_target import EngineReport, is_silent
+from ._tracked_target import EngineReport, is_unresponsive
 
 __all__ = [
-    "AtHome",
-    "ColdGate",
-    "Elsewhere",
+    "LocalPlacement",
+    "ColdStartLimiter",
+    "RemotePlacement",
     "EngineReport",
     "LoadExchange",
-    "NoHome",
+    "NoLocalTarget",
     "Placement",
-    "PlacementAsk",
+    "PlacementRequest",
     "Placer",
-    "Prober",
+    "EnginePoller",
     "Prompt",
     "PromptPart",
     "ReadReport",
@@ -48,11 +48,11 @@
     "ReportUnavailable",
     "ReportUnreadable",
     "Reservations",
-    "RetryAllowance",
+    "RetryBudget",
     "Scheduler",
     "SchedulerClient",
     "ServiceEstimates",
     "TargetTable",
-    "is_silent",
-    "service_of",
+    "is_unresponsive",
+    "select_service",
 ]
--- a/packages/node/src/bronzepoint_node/placement/_choice.py
+++ b/packages/node/src/bronzepoint_node/placement/_choice.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class AtHome:
+class LocalPlacement:
     """Send the request to a target of this region.
 
     Attributes:
@@ -34,7 +34,7 @@
             nothing to copy.
         cached_tokens: Prompt tokens that the target does not have to read.
         tokens_before: Prompt tokens that the target reads before this prompt.
-        known_age: Maximum age in seconds of the data behind the choice.
+        staleness: Maximum age in seconds of the data behind the choice.
         quiet: As far as is known, every other request there has produced its first
             event.
     """
@@ -45,12 +45,12 @@
     fetch_from: TrackedTarget | None = None
     cached_tokens: int = 0
     tokens_before: float = 0.0
-    known_age: float = 0.0
+    staleness: float = 0.0
     quiet: bool = False
 
 
 @dataclass(frozen=True)
-class NoHome:
+class NoLocalTarget:
     """No target of this region can take the request now.
 
     Attributes:
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Elsewhere:
+class RemotePlacement:
     """Forward the request to an entry host of another region."""
 
     region: RegionName
@@ -87,5 +87,5 @@
     final: bool = False
 
 
-LocalResult = AtHome | NoHome
-Placement = AtHome | Elsewhere | Rejected
+LocalResult = LocalPlacement | NoLocalTarget
+Placement = LocalPlacement | RemotePlacement | Rejected
--- a/packages/node/src/bronzepoint_node/placement/_load_exchange.py
+++ b/packages/node/src/bronzepoint_node/placement/_load_exchange.py
@@ -10,11 +10,11 @@
 from bronzepoint_schema.generated.target_loads import LoadNotice, NoticeKind
 from bronzepoint_schema.ids import HostName
 
-from ._collector_choice import CollectorSelector
+from ._collector_selector import CollectorSelector
 from ._load_collector import NOTICE_INTERVAL, LoadCollector
-from ._picture_age import MAX_AGE, StalenessBound
 from ._reservations import Reservations
 from ._service_estimates import ServiceEstimates
+from ._staleness_bound import MAX_AGE, StalenessBound
 from ._target_table import TargetTable
 
 _log = get_logger("targets")
@@ -91,7 +91,7 @@
         if self._task is not None:
             await self._task.cancel()
 
-    def askers(self, hosts: int) -> int:
+    def poller_count(self, hosts: int) -> int:
         """Return the number of hosts that poll each engine for its load.
 
         Args:
@@ -117,7 +117,7 @@
         """Return whether other hosts report to this one."""
         return bool(self._load_collector.members(now))
 
-    def choosers(self, hosts: list[HostName]) -> list[HostName]:
+    def selecting_hosts(self, hosts: list[HostName]) -> list[HostName]:
         """Return the hosts of the region that select targets without being queried.
 
         Args:
@@ -125,7 +125,7 @@
         """
         return [self._name] if self._collector == self._name else hosts
 
-    def known_age(self, now: float) -> float:
+    def staleness(self, now: float) -> float:
         """Return the maximum age in seconds of the data that this host relies on.
 
         Args:
--- a/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
+++ b/packages/node/src/bronzepoint_node/placement/_local_target_selector.py
@@ -20,15 +20,15 @@
     TargetName,
 )
 
-from ._choice import AtHome, LocalResult, NoHome
-from ._cold_gate import ColdGate
+from ._choice import LocalPlacement, LocalResult, NoLocalTarget
+from ._cold_start_limiter import ColdStartLimiter
 from ._fetch_source import fetch_source
-from ._home_ask import HomeAsk
+from ._local_request import LocalPlacementRequest
 from ._prompt import Prompt
 from ._service_estimates import ServiceEstimates
 from ._target_groups import order_groups
 from ._target_table import TargetTable
-from ._tracked_target import TRIAL_INTERVAL, TrackedTarget, is_ejected, is_silent
+from ._tracked_target import TRIAL_INTERVAL, TrackedTarget, is_ejected, is_unresponsive
 
 REPORT_TIME_CONSTANT = 1.0
 """Seconds after which the weight of an engine's report has decayed to a third."""
@@ -52,7 +52,7 @@
         cold: Rate limit for cold targets.
         speeds: Latency estimates.
         host_count: Returns the number of entry hosts of the region.
-        choosers: Returns the entry hosts that select targets themselves.
+        selecting_hosts: Returns the entry hosts that select targets themselves.
         rng: Random number generator.
     """
 
@@ -60,10 +60,10 @@
         self,
         region: RegionName,
         table: TargetTable,
-        cold: ColdGate,
+        cold: ColdStartLimiter,
         speeds: ServiceEstimates,
         host_count: Callable[[], int],
-        choosers: Callable[[], list[HostName]],
+        selecting_hosts: Callable[[], list[HostName]],
         rng: random.Random,
     ) -> None:
         self._region = region
@@ -71,23 +71,23 @@
         self._cold = cold
         self._speeds = speeds
         self._host_count = host_count
-        self._choosers = choosers
+        self._selecting_hosts = selecting_hosts
         self._rng = rng
 
-    def choose(self, request: HomeAsk, now: float) -> LocalResult:
+    def choose(self, request: LocalPlacementRequest, now: float) -> LocalResult:
         """Return the target for a request, or why there is none."""
         self._table.begin_due_return(request.service, now)
         key = request.prompt.shared_key if request.prompt else ""
         is_late = []
         for group in order_groups(self._table.groups(request.service), key, self._rng):
             found = self._choose_in_group(request, self._filter_usable(group, now), now)
-            if isinstance(found, AtHome):
+            if isinstance(found, LocalPlacement):
                 return found
             is_late.append(found.late)
-        return NoHome(late=bool(is_late) and all(is_late))
+        return NoLocalTarget(late=bool(is_late) and all(is_late))
 
     def _choose_in_group(
-        self, request: HomeAsk, usable: list[TrackedTarget], now: float
+        self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
     ) -> LocalResult:
         in_time = [t for t in usable if self._finishes_in_time(t, request, now)]
         for candidates in self._candidate_sets(request, in_time, now):
@@ -96,10 +96,10 @@
                 found = {t.info.incarnation: t for t in candidates}
                 target = found[choice.target.name]
                 return self._local_placement(request, target, in_time, choice, now)
-        return NoHome(late=bool(usable) and not in_time)
+        return NoLocalTarget(late=bool(usable) and not in_time)
 
     def _candidate_sets(
-        self, request: HomeAsk, usable: list[TrackedTarget], now: float
+        self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
     ) -> list[list[TrackedTarget]]:
         """Return sets of candidates, to be tried in order.
 
@@ -117,7 +117,7 @@
         return [not_isolated, usable]
 
     def _choose_candidate(
-        self, request: HomeAsk, usable: list[TrackedTarget], now: float
+        self, request: LocalPlacementRequest, usable: list[TrackedTarget], now: float
     ) -> TargetChoice:
         return choose_target(
             self.request_view(request),
@@ -132,23 +132,23 @@
 
     def _local_placement(
         self,
-        request: HomeAsk,
+        request: LocalPlacementRequest,
         target: TrackedTarget,
         usable: list[TrackedTarget],
         choice: TargetChoice,
         now: float,
-    ) -> AtHome:
+    ) -> LocalPlacement:
         rate = self._speeds.rate(request.service).tokens_per_second
         before = target.load.tokens_before(request.rank, rate, now)
         quiet = target.load.total(now).is_quiet
         if request.prompt is None:
-            return AtHome(
+            return LocalPlacement(
                 target, choice.reason, choice.expected, None, 0, before, quiet=quiet
             )
         source = fetch_source(target, usable, request.prompt, rate, now)
         sources = [target] if source is None else [target, source]
         cached = max(holder.memory.cached_tokens(request.prompt) for holder in sources)
-        return AtHome(
+        return LocalPlacement(
             target,
             choice.reason,
             choice.expected,
@@ -175,7 +175,10 @@
             for tracked in targets
             if self._table.is_open(tracked)
             and (now >= tracked.cold_until or self._may_send_cold(tracked, now))
-            and (not is_silent(tracked, now) or now - tracked.trial_at > TRIAL_INTERVAL)
+            and (
+                not is_unresponsive(tracked, now)
+                or now - tracked.trial_at > TRIAL_INTERVAL
+            )
         ]
 
     def _may_send_cold(self, tracked: TrackedTarget, now: float) -> bool:
@@ -183,7 +186,7 @@
         known = self._table.service(tracked.info.service)
         rate = known.cold_rate if known else 0.0
         name = tracked.info.incarnation
-        return self._cold.may_send(name, rate, self._choosers(), now)
+        return self._cold.may_send(name, rate, self._selecting_hosts(), now)
 
     def view(
         self, tracked: TrackedTarget, prompt: Prompt | None, rank: int, now: float
@@ -209,7 +212,7 @@
             backlog=before / rate,
         )
 
-    def request_view(self, request: HomeAsk) -> RequestView:
+    def request_view(self, request: LocalPlacementRequest) -> RequestView:
         """Return a request as input of the choice."""
         prompt = request.prompt
         key = prompt.shared_key if prompt else ""
@@ -237,7 +240,7 @@
         return known.engine.seconds_to_copy
 
     def _finishes_in_time(
-        self, target: TrackedTarget, request: HomeAsk, now: float
+        self, target: TrackedTarget, request: LocalPlacementRequest, now: float
     ) -> bool:
         """Return whether a stream that starts now would end by its deadline.
 
--- a/packages/node/src/bronzepoint_node/placement/_other_regions.py
+++ b/packages/node/src/bronzepoint_node/placement/_other_regions.py
@@ -6,22 +6,22 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import (
     ENTRY_EXPIRY,
-    LAST_RESORT,
     LOAD_EXPIRY,
+    MAX_REPORT_AGE,
     Registry,
 )
 from bronzepoint_node.policy import (
-    RegionTerms,
+    RegionEstimate,
     RegionView,
     RequestView,
-    away_terms,
     draw_region,
+    remote_estimate,
 )
 from bronzepoint_schema.generated.fleet import EntryHost, EntryState, RegionLoad
 from bronzepoint_schema.ids import RegionName
 
-from ._ask import PlacementAsk
-from ._choice import Elsewhere
+from ._ask import PlacementRequest
+from ._choice import RemotePlacement
 from ._region_owner import weighted_owner
 from ._service_estimates import ServiceEstimates
 
@@ -73,24 +73,28 @@
         self._forwarded: dict[tuple[RegionName, str], dict[str, float]] = {}
 
     def fresh_estimates(
-        self, request: PlacementAsk, service: str, request_view: RequestView, now: float
-    ) -> list[RegionTerms]:
+        self,
+        request: PlacementRequest,
+        service: str,
+        request_view: RequestView,
+        now: float,
+    ) -> list[RegionEstimate]:
         """Return the expected cost of each other region with a recent load report."""
         return self._region_estimates(request, service, request_view, LOAD_EXPIRY, now)
 
     def best(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
         request_view: RequestView,
-        fresh_estimates: list[RegionTerms],
+        fresh_estimates: list[RegionEstimate],
         now: float,
-    ) -> Elsewhere | None:
+    ) -> RemotePlacement | None:
         """Return the best other region for a request; None if there is none."""
         # Without recent data, as in a network partition of the core, older data is
         # better than none.
         estimates = fresh_estimates or self._region_estimates(
-            request, service, request_view, LAST_RESORT, now
+            request, service, request_view, MAX_REPORT_AGE, now
         )
         if not estimates:
             return None
@@ -111,7 +115,7 @@
         """Return the number of entry hosts of a region that accept requests."""
         return max(len(self.entry_hosts(region)), self._registry.size(region))
 
-    def note_lost_host(self, host: str, now: float) -> None:
+    def record_unreachable_host(self, host: str, now: float) -> None:
         """Record that a host of another region could not be reached."""
         self._unreachable_hosts[host] = now
 
@@ -127,18 +131,18 @@
         """Record a request that is forwarded to another region."""
         self._forwarded.setdefault((region, service), {})[run_id] = now
 
-    def note_returned(self, region: RegionName, service: str, run_id: str) -> None:
+    def record_returned(self, region: RegionName, service: str, run_id: str) -> None:
         """Remove a forwarded request that has been answered."""
         self._forwarded.get((region, service), {}).pop(run_id, None)
 
     def cache_holder(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
-        estimates: list[RegionTerms],
+        estimates: list[RegionEstimate],
         missing: int,
         own_slots: int,
-    ) -> Elsewhere | None:
+    ) -> RemotePlacement | None:
         """Return the region that caches a prompt's shared part, if forwarding pays.
 
         If each region read a shared part, it would take memory and time at three
@@ -170,13 +174,19 @@
         return None
 
     def _remote_placement(
-        self, estimate: RegionTerms, request: PlacementAsk, detail: str, delay: float
-    ) -> Elsewhere:
+        self,
+        estimate: RegionEstimate,
+        request: PlacementRequest,
+        detail: str,
+        delay: float,
+    ) -> RemotePlacement:
         region = estimate.view.name
         host = self._rng.choice(self._eligible_hosts(region, request))
-        return Elsewhere(region, host.name, host.forward_address, detail, delay)
+        return RemotePlacement(region, host.name, host.forward_address, detail, delay)
 
-    def describe(self, service: str, request: PlacementAsk, now: float) -> list[str]:
+    def describe(
+        self, service: str, request: PlacementRequest, now: float
+    ) -> list[str]:
         """Return the known free capacity of each other region, for the log."""
         return [
             f"{load.region} {load.in_progress}/{load.slots} {load.age_ms} ms old, "
@@ -188,12 +198,12 @@
 
     def _region_estimates(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
         request_view: RequestView,
         expiry: float,
         now: float,
-    ) -> list[RegionTerms]:
+    ) -> list[RegionEstimate]:
         estimates = []
         for load in self._registry.loads(expiry):
             if load.service != service or load.region == self._region:
@@ -216,10 +226,12 @@
             if load.in_progress + sent >= load.slots * FULL_LOAD_FACTOR:
                 continue
             times = self._speeds.times(service)
-            estimates.append(away_terms(view, request_view, times, sent, CACHED_SHARE))
+            estimates.append(
+                remote_estimate(view, request_view, times, sent, CACHED_SHARE)
+            )
         return estimates
 
-    def _transfer_time(self, request: PlacementAsk) -> float:
+    def _transfer_time(self, request: PlacementRequest) -> float:
         """Return the seconds to send a body from this host and receive it at another.
 
         On a narrow link a long prompt takes longer than the round trip. Without this
@@ -228,9 +240,9 @@
         return 2 * request.body_bytes / self._link_bytes
 
     def _eligible_hosts(
-        self, region: RegionName, request: PlacementAsk
+        self, region: RegionName, request: PlacementRequest
     ) -> list[EntryHost]:
-        hosts = self.entry_hosts(region) or self.entry_hosts(region, LAST_RESORT)
+        hosts = self.entry_hosts(region) or self.entry_hosts(region, MAX_REPORT_AGE)
         now = monotonic()
         eligible = [
             host
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -5,27 +5,27 @@
 from collections.abc import Callable
 
 from bronzepoint_node.fleet import Registry
-from bronzepoint_node.policy import RegionTerms
+from bronzepoint_node.policy import RegionEstimate
 from bronzepoint_schema.generated.fleet import RegionLoad
 from bronzepoint_schema.ids import HostName, RegionName
 
-from ._ask import PlacementAsk, service_of
+from ._ask import PlacementRequest, select_service
 from ._choice import (
-    AtHome,
-    Elsewhere,
+    LocalPlacement,
     LocalResult,
-    NoHome,
+    NoLocalTarget,
     Placement,
     Rejected,
     RejectReason,
+    RemotePlacement,
 )
-from ._cold_gate import ColdGate
-from ._home_ask import HomeAsk
+from ._cold_start_limiter import ColdStartLimiter
+from ._local_request import LocalPlacementRequest
 from ._local_target_selector import LOWEST_RANK, LocalTargetSelector
 from ._other_regions import OtherRegions
 from ._service_estimates import ServiceEstimates
 from ._target_table import TargetTable
-from ._tracked_target import TrackedTarget, is_ejected, is_silent
+from ._tracked_target import TrackedTarget, is_ejected, is_unresponsive
 
 MIN_REMOTE_ADVANTAGE = 0.15
 """Seconds by which another region must be faster to be preferred. Its caches do not
@@ -47,8 +47,8 @@
         registry: Live hosts, and the loads of the regions.
         cold: Rate limit for cold targets.
         rng: Random number generator.
-        choosers: Returns the entry hosts of the region that select targets themselves;
-            None if all of them do.
+        selecting_hosts: Returns the entry hosts of the region that select targets
+            themselves; None if all of them do.
         link_bytes: Bandwidth of an entry host's link in bytes per second.
 
     Attributes:
@@ -62,9 +62,9 @@
         region: RegionName,
         table: TargetTable,
         registry: Registry,
-        cold: ColdGate,
+        cold: ColdStartLimiter,
         rng: random.Random,
-        choosers: Callable[[], list[HostName]] | None = None,
+        selecting_hosts: Callable[[], list[HostName]] | None = None,
         link_bytes: float = math.inf,
     ) -> None:
         self._region = region
@@ -78,7 +78,7 @@
             cold,
             self.speeds,
             lambda: self.regions.host_count(region),
-            choosers or self.hosts,
+            selecting_hosts or self.hosts,
             rng,
         )
 
@@ -89,16 +89,16 @@
         """
         return [host.name for host in self.regions.entry_hosts(self._region)]
 
-    def may_stay(self, request: PlacementAsk) -> bool:
+    def may_serve_locally(self, request: PlacementRequest) -> bool:
         """Return whether this region may serve a request, and has targets for it."""
-        service = service_of(request.route, request.request_id)
+        service = select_service(request.route, request.request_id)
         return request.may_go_to(self._region) and self._table.has_service(service)
 
-    def home_ask(self, request: PlacementAsk) -> HomeAsk:
+    def local_request(self, request: PlacementRequest) -> LocalPlacementRequest:
         """Return the input of the selection of a target of this region."""
-        return HomeAsk(
+        return LocalPlacementRequest(
             request_id=request.request_id,
-            service=service_of(request.route, request.request_id),
+            service=select_service(request.route, request.request_id),
             prompt=request.prompt,
             time_left=request.time_left,
             rank=request.rank,
@@ -107,14 +107,16 @@
             suspect=request.suspect,
         )
 
-    def place(self, request: PlacementAsk, now: float) -> Placement:
+    def place(self, request: PlacementRequest, now: float) -> Placement:
         """Return a target of this region, a host of another one, or a refusal."""
-        if not self.may_stay(request):
-            return self.decide(request, NoHome(), now)
-        return self.decide(request, self.home.choose(self.home_ask(request), now), now)
+        if not self.may_serve_locally(request):
+            return self.decide(request, NoLocalTarget(), now)
+        return self.decide(
+            request, self.home.choose(self.local_request(request), now), now
+        )
 
     def decide(
-        self, request: PlacementAsk, found: LocalResult, now: float
+        self, request: PlacementRequest, found: LocalResult, now: float
     ) -> Placement:
         """Choose between this region and the others.
 
@@ -123,11 +125,11 @@
             found: Result of the target selection in this region.
             now: Monotonic seconds.
         """
-        local = found if isinstance(found, AtHome) else None
-        service = service_of(request.route, request.request_id)
+        local = found if isinstance(found, LocalPlacement) else None
+        service = select_service(request.route, request.request_id)
         if request.forwarded:
             return local or self._reject(service, found)
-        request_view = self.home.request_view(self.home_ask(request))
+        request_view = self.home.request_view(self.local_request(request))
         estimates = self.regions.fresh_estimates(request, service, request_view, now)
         remote = self.regions.best(request, service, request_view, estimates, now)
         if remote is None:
@@ -141,12 +143,12 @@
 
     def _cache_holder(
         self,
-        request: PlacementAsk,
+        request: PlacementRequest,
         service: str,
-        local: AtHome,
-        estimates: list[RegionTerms],
+        local: LocalPlacement,
+        estimates: list[RegionEstimate],
         now: float,
-    ) -> Elsewhere | None:
+    ) -> RemotePlacement | None:
         """Return the region that caches parts of the prompt missing in this one.
 
         A part that another target of this region caches is copied from there, which
@@ -182,7 +184,7 @@
             for tracked in self.home.usable(service, now)
             if now >= tracked.cold_until
             and not is_ejected(tracked)
-            and not is_silent(tracked, now)
+            and not is_unresponsive(tracked, now)
         ]
 
     def _region_load(
@@ -199,20 +201,20 @@
 
     def _reject(self, service: str, found: LocalResult) -> Rejected:
         """Return a refusal with the time after which to retry."""
-        if isinstance(found, NoHome) and found.late:
+        if isinstance(found, NoLocalTarget) and found.late:
             wait = SLOW_TARGET_WAIT * self._rng.uniform(0.7, 1.5)
             return Rejected(RejectReason.NO_TIME, wait, final=True)
         hold = self.speeds.times(service).hold
         wait = min(3.0, max(0.3, hold / 2)) * self._rng.uniform(0.7, 1.5)
-        is_final = isinstance(found, NoHome) and found.crowded
+        is_final = isinstance(found, NoLocalTarget) and found.crowded
         return Rejected(RejectReason.NO_ROOM, wait, is_final)
 
-    def known_room(self, request: PlacementAsk, now: float) -> str:
+    def describe_capacity(self, request: PlacementRequest, now: float) -> str:
         """Return the known free capacity for a request, for the log."""
-        service = service_of(request.route, request.request_id)
+        service = select_service(request.route, request.request_id)
         here = [
             f"{t.info.incarnation} {t.load.in_flight(now)}/{t.slots}"
-            f"{' silent' if is_silent(t, now) else ''}"
+            f"{' silent' if is_unresponsive(t, now) else ''}"
             f"{' ejected' if is_ejected(t) else ''}"
             f"{' cold' if now < t.cold_until else ''}"
             for t in self._table.of_service(service)
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -9,15 +9,15 @@
 from bronzepoint_schema.generated.target_loads import PartUse
 from bronzepoint_schema.ids import HostName
 
-from ._choice import AtHome, LocalResult, NoHome
-from ._cold_gate import ColdGate
+from ._choice import LocalPlacement, LocalResult, NoLocalTarget
+from ._cold_start_limiter import ColdStartLimiter
 from ._engine_load import OwnRun
-from ._home_ask import HomeAsk
+from ._local_request import LocalPlacementRequest
 from ._local_target_selector import LocalTargetSelector
 from ._prompt import Prompt, PromptPart
+from ._request_queue import HEAD_COUNT, QueuedRequest, RequestQueue
 from ._reservations import Reservations
-from ._tracked_target import is_silent
-from ._waiting_line import HEAD_COUNT, QueuedRequest, RequestQueue
+from ._tracked_target import is_unresponsive
 
 MIN_POLL_PAUSE = 0.02
 """Minimum seconds between two checks of a queue for free capacity."""
@@ -27,7 +27,7 @@
 If hosts repeated their queries at short intervals instead, a burst would use up the
 scheduler's processor."""
 
-Claim = Callable[[AtHome], None]
+Claim = Callable[[LocalPlacement], None]
 """Counts a request at its target, before any other request is placed."""
 
 
@@ -35,9 +35,9 @@
 class _QueuedPlacement(QueuedRequest):
     """A queued request and the result of its placement."""
 
-    request: HomeAsk = field(kw_only=True, compare=False)
+    request: LocalPlacementRequest = field(kw_only=True, compare=False)
     claim: Claim = field(kw_only=True, compare=False)
-    found: LocalResult = field(default=NoHome(), kw_only=True, compare=False)
+    found: LocalResult = field(default=NoLocalTarget(), kw_only=True, compare=False)
 
 
 class Scheduler:
@@ -53,26 +53,26 @@
         selector: Selects targets of this region.
         cold: Rate limit for cold targets.
         reservations: Requests granted by this host.
-        known_age: Returns the maximum age in seconds of this host's data about others.
+        staleness: Returns the maximum age in seconds of this host's data about others.
     """
 
     def __init__(
         self,
         name: HostName,
         selector: LocalTargetSelector,
-        cold: ColdGate,
+        cold: ColdStartLimiter,
         reservations: Reservations,
-        known_age: Callable[[float], float],
+        staleness: Callable[[float], float],
     ) -> None:
         self._name = name
         self._numbers = itertools.count()
         self._selector = selector
         self._cold = cold
         self._reservations = reservations
-        self._known_age = known_age
+        self._staleness = staleness
         self._queues: dict[str, RequestQueue] = {}
 
-    async def find(self, request: HomeAsk, wait: float) -> LocalResult:
+    async def find(self, request: LocalPlacementRequest, wait: float) -> LocalResult:
         """Return a target for a request of this host, as soon as there is one.
 
         The caller counts the request at its target immediately.
@@ -83,11 +83,11 @@
         """
         number = next(self._numbers)
 
-        def claim(found: AtHome) -> None:
+        def claim(found: LocalPlacement) -> None:
             self._reserve(self._name, number, request, found)
 
         found = await self._find(request, wait, claim)
-        if isinstance(found, AtHome):
+        if isinstance(found, LocalPlacement):
             self._reservations.settle(self._name, [number])
         return found
 
@@ -95,14 +95,14 @@
         """Answer a query of another host, and reserve what it is granted."""
         request = _read_query(query, monotonic())
 
-        def claim(found: AtHome) -> None:
+        def claim(found: LocalPlacement) -> None:
             self._reserve(host, query.number, request, found)
 
         found = await self._find(request, query.wait_ms / 1000, claim)
         match found:
-            case NoHome(late=late, crowded=crowded):
+            case NoLocalTarget(late=late, crowded=crowded):
                 return NoTarget(query.number, late, crowded=crowded)
-            case AtHome(target=target, fetch_from=source):
+            case LocalPlacement(target=target, fetch_from=source):
                 return TargetGrant(
                     query.number,
                     target.info.incarnation,
@@ -111,11 +111,13 @@
                     round(found.tokens_before),
                     round(found.delay * 1000),
                     found.reason,
-                    round(found.known_age * 1000),
+                    round(found.staleness * 1000),
                     found.quiet,
                 )
 
-    async def _find(self, request: HomeAsk, wait: float, claim: Claim) -> LocalResult:
+    async def _find(
+        self, request: LocalPlacementRequest, wait: float, claim: Claim
+    ) -> LocalResult:
         found = self._choose(request, claim)
         if wait <= 0 or not _lacks_capacity(found):
             return found
@@ -158,22 +160,26 @@
             if failed == HEAD_COUNT:
                 return
 
-    def _choose(self, request: HomeAsk, claim: Claim) -> LocalResult:
+    def _choose(self, request: LocalPlacementRequest, claim: Claim) -> LocalResult:
         now = monotonic()
         found = self._selector.choose(request, now)
-        if isinstance(found, NoHome):
+        if isinstance(found, NoLocalTarget):
             return found
         claim(found)
-        return replace(found, known_age=self._known_age(now))
+        return replace(found, staleness=self._staleness(now))
 
     def _reserve(
-        self, host: HostName, number: int, request: HomeAsk, found: AtHome
+        self,
+        host: HostName,
+        number: int,
+        request: LocalPlacementRequest,
+        found: LocalPlacement,
     ) -> None:
         now = monotonic()
         target, prompt = found.target, request.prompt
         if now < target.cold_until:
             self._cold.note_sent(target.info.incarnation, now)
-        if is_silent(target, now):
+        if is_unresponsive(target, now):
             target.trial_at = now
         if request.suspect:
             target.isolate(now)
@@ -183,7 +189,9 @@
         self._reservations.add(host, number, target, prompt, run)
 
 
-def make_query(request: HomeAsk, number: int, wait: float, now: float) -> TargetAsk:
+def make_query(
+    request: LocalPlacementRequest, number: int, wait: float, now: float
+) -> TargetAsk:
     """Return a request as a query to another host."""
     prompt = request.prompt
     return TargetAsk(
@@ -203,12 +211,12 @@
     )
 
 
-def _read_query(query: TargetAsk, now: float) -> HomeAsk:
+def _read_query(query: TargetAsk, now: float) -> LocalPlacementRequest:
     prompt = None
     if query.tokens >= 0:
         parts = tuple(PromptPart(part.name, part.tokens) for part in query.parts)
         prompt = Prompt(parts, query.tokens, query.max_output, query.expected_output)
-    return HomeAsk(
+    return LocalPlacementRequest(
         request_id=query.request_id,
         service=query.service,
         prompt=prompt,
@@ -221,4 +229,4 @@
 
 
 def _lacks_capacity(found: LocalResult) -> bool:
-    return isinstance(found, NoHome) and not found.late
+    return isinstance(found, NoLocalTarget) and not found.late
--- a/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler_client.py
@@ -20,9 +20,9 @@
 )
 from bronzepoint_schema.ids import HostName
 
-from ._choice import AtHome, LocalResult, NoHome
-from ._home_ask import HomeAsk
+from ._choice import LocalPlacement, LocalResult, NoLocalTarget
 from ._load_exchange import LoadExchange
+from ._local_request import LocalPlacementRequest
 from ._scheduler import MAX_WAIT, Scheduler, make_query
 from ._target_table import TargetTable
 from ._tracked_target import TrackedTarget, is_ejected
@@ -90,7 +90,7 @@
         """Stop answering queries."""
         await self._tasks.cancel_remaining()
 
-    async def find(self, request: HomeAsk, wait: float) -> LocalResult:
+    async def find(self, request: LocalPlacementRequest, wait: float) -> LocalResult:
         """Return a target of the region, as soon as there is one.
 
         Args:
@@ -105,7 +105,7 @@
         timing = f"asked {scheduler}, {(monotonic() - began) * 1000:.0f} ms"
         match answer:
             case NoTarget(late=late, crowded=crowded):
-                return NoHome(late, crowded)
+                return NoLocalTarget(late, crowded)
             case TargetGrant():
                 target = self._table.get(answer.incarnation)
                 if target is not None:
@@ -114,15 +114,15 @@
         # yet.
         self._metrics.incr("schedule.own_choice")
         found = await self._scheduler.find(request, 0.0)
-        if isinstance(found, AtHome):
+        if isinstance(found, LocalPlacement):
             reason = f"{found.reason}; {timing}, own choice"
             return dataclasses.replace(found, reason=reason)
         return found
 
     def _local_placement(
         self, target: TrackedTarget, grant: TargetGrant, timing: str
-    ) -> AtHome:
-        return AtHome(
+    ) -> LocalPlacement:
+        return LocalPlacement(
             target,
             f"{grant.reason}; {timing}",
             grant.delay_ms / 1000,
@@ -134,7 +134,7 @@
         )
 
     async def _query(
-        self, scheduler: HostName, request: HomeAsk, wait: float
+        self, scheduler: HostName, request: LocalPlacementRequest, wait: float
     ) -> TargetGrant | NoTarget | None:
         """Return the scheduler's answer; None if none arrived in time."""
         began = monotonic()
@@ -209,7 +209,7 @@
 
     async def _resolve(self, answer: TargetGrant | NoTarget) -> None:
         if isinstance(answer, NoTarget):
-            self._registry.hear_loads(answer.loads)
+            self._registry.merge_loads(answer.loads)
         pending = self._pending.get(answer.number)
         if pending is not None:
             pending.answer = answer
--- a/packages/node/src/bronzepoint_node/placement/_tracked_target.py
+++ b/packages/node/src/bronzepoint_node/placement/_tracked_target.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from bronzepoint_node.fleet import EngineFacts
+from bronzepoint_node.fleet import EngineProperties
 from bronzepoint_node.quarantine import WatchedRun
 from bronzepoint_node.targets import Health, HealthState
 from bronzepoint_schema.generated.fleet import TargetInfo
@@ -71,7 +71,7 @@
     """
 
     info: TargetInfo
-    engine: EngineFacts | None
+    engine: EngineProperties | None
     memory: CacheEstimate
     health: Health
     cold_until: float = 0.0
@@ -198,7 +198,7 @@
         report = self.report or EngineReport(0, 0, 0, 0)
         age = int((now - self.report_at) * 1000) if self.report else -1
         return EngineWord(
-            silent=is_silent(self, now),
+            silent=is_unresponsive(self, now),
             age_ms=age,
             running=report.running,
             waiting=report.waiting,
@@ -215,7 +215,7 @@
         self.failed_reports = 0
         self.unresponsive_since = 0.0
 
-    def note_unreached(self, now: float) -> None:
+    def record_failed_connection(self, now: float) -> None:
         """Record a failed connection, to be reported at once.
 
         A crashed target looks idle to hosts that do not know of the crash.
@@ -308,6 +308,6 @@
     return tracked.health.state is HealthState.ejected
 
 
-def is_silent(tracked: TrackedTarget, now: float) -> bool:
+def is_unresponsive(tracked: TrackedTarget, now: float) -> bool:
     """Return whether an engine is unresponsive, for example behind a partition."""
     return tracked.reported_unresponsive or tracked.is_unresponsive_here(now)
--- a/packages/node/src/bronzepoint_node/policy/__init__.py
+++ b/packages/node/src/bronzepoint_node/policy/__init__.py
@@ -2,10 +2,10 @@
 
 from bronzepoint_node.policy._admission import Admission
 from bronzepoint_node.policy._choose_region import (
-    RegionTerms,
-    away_terms,
+    RegionEstimate,
     choose_region,
     draw_region,
+    remote_estimate,
 )
 from bronzepoint_node.policy._choose_target import choose_target
 from bronzepoint_node.policy._inputs import (
@@ -16,10 +16,10 @@
 )
 from bronzepoint_node.policy._limits import Limits, RegionHosts
 from bronzepoint_node.policy._outputs import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
+    RemotePlacement,
     TargetChoice,
 )
 from bronzepoint_node.policy._policy import Policy, Ticket
@@ -29,14 +29,14 @@
 
 __all__ = [
     "Admission",
-    "Away",
-    "Home",
+    "RemotePlacement",
+    "LocalPlacement",
     "Limits",
     "Placement",
     "Policy",
     "Refused",
     "RegionHosts",
-    "RegionTerms",
+    "RegionEstimate",
     "RegionView",
     "RequestView",
     "RetryBudget",
@@ -46,7 +46,7 @@
     "TargetView",
     "Ticket",
     "TokenBucket",
-    "away_terms",
+    "remote_estimate",
     "choose_region",
     "choose_target",
     "draw_region",
--- a/packages/node/src/bronzepoint_node/policy/_policy.py
+++ b/packages/node/src/bronzepoint_node/policy/_policy.py
@@ -10,7 +10,7 @@
 from bronzepoint_node.policy._admission import Admission
 from bronzepoint_node.policy._baselines import Baseline
 from bronzepoint_node.policy._choose_region import (
-    RegionTerms,
+    RegionEstimate,
     choose_region,
     residency_allows,
 )
@@ -24,10 +24,10 @@
 )
 from bronzepoint_node.policy._other_regions import OtherRegions
 from bronzepoint_node.policy._outputs import (
-    Away,
-    Home,
+    LocalPlacement,
     Placement,
     Refused,
+    RemotePlacement,
     TargetChoice,
 )
 from bronzepoint_node.policy._ramp import ForwardRamp
@@ -122,8 +122,8 @@
     ) -> Placement:
         """Choose where a request goes; may wait for a free target.
 
-        After `Home`, count the request at its target before awaiting anything;
-        otherwise other requests are placed by the old counts.
+        After `LocalPlacement`, count the request at its target before awaiting
+        anything; otherwise other requests are placed by the old counts.
         """
         request = ticket.request
         request.deadline_left = ticket.deadline - time.monotonic()
@@ -149,10 +149,10 @@
         placed.notes = [*ticket.notes, *placed.notes]
         return placed
 
-    async def try_ended(
+    async def record_try(
         self,
         ticket: Ticket,
-        placed: Home | Away,
+        placed: LocalPlacement | RemotePlacement,
         result: TryResult,
         first_token: float | None,
     ) -> None:
@@ -168,7 +168,7 @@
         now = time.monotonic()
         estimates = self._estimates_for(request.entry)
         match placed:
-            case Home(target):
+            case LocalPlacement(target):
                 if result is TryResult.timeout:
                     # The elapsed time is a lower bound that marks the target as slow.
                     first_token = now - ticket.placed_at
@@ -184,7 +184,7 @@
                     estimates.times.add_hold((now - ticket.placed_at) / slowness)
                     self._retry_budget.answered(request.entry, self._region)
                 await self._release_slot(ticket)
-            case Away(region):
+            case RemotePlacement(region):
                 if result is TryResult.answered:
                     self._retry_budget.answered(request.entry, region)
                 self._other_regions.record_end(request, region, result, now)
@@ -218,7 +218,7 @@
             tokens: Number of generated tokens.
         """
         self._limits.release(ticket.limits, tokens)
-        # For a request cancelled during a try, `try_ended` isn't called.
+        # For a request cancelled during a try, `record_try` isn't called.
         await self._release_slot(ticket)
 
     async def _release_slot(self, ticket: Ticket) -> None:
@@ -290,7 +290,7 @@
         max_wait = _FORWARD_WAIT_MARGIN_SECONDS + decided.expected
         if not request.idempotent:
             max_wait = 0.0
-        return Away(decided.region, candidates, decided.reason, [], max_wait)
+        return RemotePlacement(decided.region, candidates, decided.reason, [], max_wait)
 
     def _place_locally(
         self,
@@ -304,7 +304,7 @@
         if choice.target is not None and ahead < 1:
             ticket.expected_wait = choice.wait
             reason = f"{region_reason}; {choice.reason}"
-            return Home(choice.target, candidates, reason)
+            return LocalPlacement(choice.target, candidates, reason)
         if choice.usable == 0:
             return no_target(ticket.request, candidates)
         return None
@@ -317,7 +317,7 @@
         choice: TargetChoice,
         regions: list[RegionView],
         views: list[TargetView],
-    ) -> RegionTerms | None:
+    ) -> RegionEstimate | None:
         request = ticket.request
         if choice.usable == 0 or not residency_allows(request, self._region):
             return None
@@ -329,21 +329,21 @@
         )
         if choice.target is not None and ahead < 1:
             cost = choice.target.cost * estimates.times.hold
-            return RegionTerms(view, choice.expected, cost)
+            return RegionEstimate(view, choice.expected, cost)
         delay = (ahead + 1) * estimates.start_interval(len(self._hosts().live))
         delay += estimates.times.first_token(request.prompt_tokens)
         cost = min(target.cost for target in views) * estimates.times.hold
-        return RegionTerms(view, delay, cost)
+        return RegionEstimate(view, delay, cost)
 
     def _record_placement(self, ticket: Ticket, placed: Placement) -> None:
         request = ticket.request
         ticket.placed_at = time.monotonic()
         match placed:
-            case Home():
+            case LocalPlacement():
                 ticket.holds_slot = True
                 self._admission.started(ticket.pool, request.owner)
                 self._metrics.incr("placed.home")
-            case Away(region):
+            case RemotePlacement(region):
                 self._other_regions.record_sent(request.entry, region, ticket.placed_at)
                 self._metrics.incr("placed.away")
             case Refused(kind):
--- a/packages/node/src/bronzepoint_node/quarantine/_crash_watch.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_crash_detector.py
@@ -12,7 +12,7 @@
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_schema.generated.fleet import TargetInfo
 
-from ._fingerprint import RequestNames
+from ._fingerprint import RequestFingerprints
 
 FAILED_RUN_RETENTION = 10.0
 """Seconds for which a failed run is kept. The crash of an unresponsive target is only
@@ -38,7 +38,7 @@
     """One attempt to run a request on a target; times are monotonic seconds.
 
     Attributes:
-        names: Fingerprints of the request.
+        fingerprints: Fingerprints of the request.
         began: Time at which it was sent.
         first_event_at: Time of its first event; 0 if none has arrived.
         ended_at: Time at which it ended; 0 while it runs.
@@ -48,7 +48,7 @@
         survived: Whether it ran on past the early phase.
     """
 
-    names: RequestNames
+    fingerprints: RequestFingerprints
     began: float
     first_event_at: float = 0.0
     ended_at: float = 0.0
@@ -98,10 +98,10 @@
     def note_crash(self, crash: Crash) -> None:
         """Handle a crash; called again for runs that fail later because of it."""
 
-    def note_survived(self, names: RequestNames) -> None:
+    def note_survived(self, fingerprints: RequestFingerprints) -> None:
         """Handle a request that has run past the early phase."""
 
-    def note_answered(self, names: RequestNames) -> None:
+    def record_answered(self, fingerprints: RequestFingerprints) -> None:
         """Handle a request that a target has answered completely."""
 
 
@@ -119,7 +119,7 @@
     check_done: curio.Event | None = None
 
 
-class CrashWatch:
+class CrashDetector:
     """Distinguishes target crashes from other failures of requests.
 
     A connection reset, an expired deadline or a broken link doesn't prove a crash. A
@@ -147,13 +147,13 @@
     def begin(
         self,
         target: TargetInfo,
-        names: RequestNames,
+        fingerprints: RequestFingerprints,
         suspect: bool = False,
         quiet: bool = False,
     ) -> WatchedRun:
         """Register a run that is sent to a target."""
         now = monotonic()
-        run = WatchedRun(names, now, suspect=suspect, quiet=quiet)
+        run = WatchedRun(fingerprints, now, suspect=suspect, quiet=quiet)
         watched = self._targets.get(target.incarnation)
         if watched is None:
             self._drop_stale(now)
@@ -165,23 +165,23 @@
             watched.trials.add(run)
         return run
 
-    def note_event(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_event(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record an event in the answer to a run."""
         now = monotonic()
         if not run.first_event_at:
             run.first_event_at = now
         elif not run.survived and now - run.first_event_at > EARLY_PHASE:
             run.survived = True
-            self._listener.note_survived(run.names)
+            self._listener.note_survived(run.fingerprints)
         self.record_contact(target, now)
 
-    def note_answered(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_answered(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that a run ended with a complete answer."""
         self._end_run(target, run)
         self.record_contact(target, monotonic())
-        self._listener.note_answered(run.names)
+        self._listener.record_answered(run.fingerprints)
 
-    def note_not_run(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_not_run(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that the target never began a run."""
         self._end_run(target, run)
 
@@ -191,7 +191,7 @@
         if watched is not None:
             watched.last_contact_at = now
 
-    def note_broken(self, target: TargetInfo, run: WatchedRun) -> None:
+    def record_failure(self, target: TargetInfo, run: WatchedRun) -> None:
         """Record that a run ended without a complete answer."""
         watched = self._end_run(target, run)
         if watched is None:
@@ -209,7 +209,7 @@
             watched.trials.discard(run)
         return watched
 
-    async def look(self, target: TargetInfo) -> bool:
+    async def check_crash(self, target: TargetInfo) -> bool:
         """Check whether a target whose answer was just interrupted has crashed.
 
         Requests that fail at the same time share one check.
@@ -234,13 +234,13 @@
             watched.check_done = None
         return bool(watched.crashed_at)
 
-    def note_replaced(self, target: TargetInfo) -> None:
+    def record_replacement(self, target: TargetInfo) -> None:
         """Record that another incarnation answers at the address of a target."""
         watched = self._targets.get(target.incarnation)
         if watched is not None and not watched.crashed_at and not target.leaving:
             self._note_crashed(watched)
 
-    def note_listed(self, listed: Iterable[TargetInfo]) -> None:
+    def record_list(self, listed: Iterable[TargetInfo]) -> None:
         """Check the target list for new incarnations at the addresses in use.
 
         A crashed target stays listed for some seconds, possibly along with the next
@@ -296,7 +296,8 @@
             runs=len(runs),
             early=len(early),
             newest={
-                run.names.exact: round(run.ended_at - run.began, 3) for run in newest
+                run.fingerprints.exact: round(run.ended_at - run.began, 3)
+                for run in newest
             },
         )
 
--- a/packages/node/src/bronzepoint_node/quarantine/_standing.py
+++ b/packages/node/src/bronzepoint_node/quarantine/_standing.py
@@ -6,8 +6,8 @@
 
 from bronzepoint_schema.ids import Fingerprint
 
-from ._case import CrashRecord, SuspectRecord
 from ._fingerprint import is_any_caller
+from ._suspect_record import CrashRecord, SuspectRecord
 
 MIN_CRASHES_SUSPECT = 2
 """Number of early crashes, soon after the request began to run, from which it is a
@@ -24,7 +24,7 @@
 higher since a stream that had been running each time is most likely unrelated."""
 
 
-class Standing(IntEnum):
+class SuspicionLevel(IntEnum):
     """Treatment of a request, in order of strictness.
 
     CLEAR: no restrictions. SUSPECT: runs on trial, apart from other suspects and on a
@@ -41,7 +41,9 @@
 CrashRecords = dict[str, CrashRecord]
 
 
-def suspicion_levels(records: Iterable[SuspectRecord]) -> dict[Fingerprint, Standing]:
+def suspicion_levels(
+    records: Iterable[SuspectRecord],
+) -> dict[Fingerprint, SuspicionLevel]:
     """Return the standing of each request that isn't clear.
 
     A crash has one cause but affects every request that ran on the target. A frequent
@@ -79,10 +81,10 @@
         if is_any_caller(fingerprint):
             # The content may be harmless from another caller, so it is never blocked
             # but runs on trial with a permit.
-            standing = min(standing, Standing.DOUBTFUL)
-        elif standing is Standing.HELD:
+            standing = min(standing, SuspicionLevel.DOUBTFUL)
+        elif standing is SuspicionLevel.HELD:
             attributed.update(active_crash_records[fingerprint])
-        if standing is not Standing.CLEAR:
+        if standing is not SuspicionLevel.CLEAR:
             standings[fingerprint] = standing
     return standings
 
@@ -119,12 +121,14 @@
     return bool(proven) and _count_early(crash_records) >= MIN_CRASHES_BLOCKED
 
 
-def _classify(crash_records: CrashRecords, proven: set[str]) -> Standing:
+def _classify(crash_records: CrashRecords, proven: set[str]) -> SuspicionLevel:
     early = _count_early(crash_records)
     if _is_proven_cause(crash_records, proven) or early >= MIN_CRASHES_BLOCKED_UNPROVEN:
-        return Standing.HELD
+        return SuspicionLevel.HELD
     if len(crash_records) >= MIN_CRASHES_BLOCKED_LATE:
-        return Standing.HELD
+        return SuspicionLevel.HELD
     if early >= MIN_CRASHES_BLOCKED:
-        return Standing.DOUBTFUL
-    return Standing.SUSPECT if early >= MIN_CRASHES_SUSPECT else Standing.CLEAR
+        return SuspicionLevel.DOUBTFUL
+    return (
+        SuspicionLevel.SUSPECT if early >= MIN_CRASHES_SUSPECT else SuspicionLevel.CLEAR
+    )
--- a/packages/node/src/bronzepoint_node/relay/__init__.py
+++ b/packages/node/src/bronzepoint_node/relay/__init__.py
@@ -1,23 +1,23 @@
 """Relays requests unchanged from callers to targets, and the answers back."""
 
-from ._codec import CallerHead, Codec, Copies, TargetVerdict
+from ._answer_writer import AnswerWriter
+from ._authenticator import Authenticator
+from ._codec import CallerHead, Codec, CopyInstructions, TargetVerdict
 from ._events import EventSplitter
-from ._final_answers import FinalAnswers
-from ._gate import Gate
 from ._host_headers import HOST_HEADERS
-from ._reception import Reception
 from ._relay import Relay
+from ._request_intake import RequestIntake
 from ._sender import Sender
 
 __all__ = [
     "CallerHead",
     "Codec",
-    "Copies",
+    "CopyInstructions",
     "EventSplitter",
-    "FinalAnswers",
-    "Gate",
+    "AnswerWriter",
+    "Authenticator",
     "HOST_HEADERS",
-    "Reception",
+    "RequestIntake",
     "Relay",
     "Sender",
     "TargetVerdict",
--- a/packages/node/src/bronzepoint_node/relay/_final_answers.py
+++ b/packages/node/src/bronzepoint_node/relay/_answer_writer.py
@@ -4,12 +4,12 @@
 from bronzepoint_common.http import Exchange
 from bronzepoint_common.logs import get_logger
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.fleet import Follower, shown_digest
+from bronzepoint_node.fleet import SyncClient, shown_digest
 from bronzepoint_node.placement import Rejected, RejectReason
 
+from ._authenticator import Authentication, UnknownKey
 from ._call import Answered, Call, NotRun, TryOutcome
 from ._codec import CallerHead
-from ._gate import Authentication, UnknownKey
 from ._host_headers import BLOCKED_HEADER, RAN_HEADER
 
 DEFAULT_RETRY_AFTER = 0.3
@@ -21,16 +21,16 @@
 _log = get_logger("relay")
 
 
-class FinalAnswers:
+class AnswerWriter:
     """Sends final answers; a refusal guarantees that the request did not run.
 
     Args:
-        follower: Source of the age of the target list.
+        sync_client: Source of the age of the target list.
         metrics: Counters.
     """
 
-    def __init__(self, follower: Follower, metrics: Metrics) -> None:
-        self._follower = follower
+    def __init__(self, sync_client: SyncClient, metrics: Metrics) -> None:
+        self._sync_client = sync_client
         self._metrics = metrics
 
     async def give_up(self, call: Call, outcome: TryOutcome | None) -> None:
@@ -112,7 +112,7 @@
         Another host would answer it sooner. Closes the connection, so that the caller
         retries there.
         """
-        exchange.say_last()
+        exchange.announce_close()
         await self.refuse(exchange, head, RejectReason.LAGGING, DEFAULT_RETRY_AFTER)
 
     async def refuse_unauthenticated(
@@ -142,7 +142,7 @@
             key=shown_digest(head.key),
             version=version,
         )
-        exchange.say_last()
+        exchange.announce_close()
         await _send_refusal(exchange, reason, DEFAULT_RETRY_AFTER)
 
     async def answer_late(self, call: Call) -> None:
@@ -210,7 +210,7 @@
             max_gap=call.route.max_gap,
             rank=call.priority,
             left=round(call.time_left, 3),
-            list_age=round(now - self._follower.targets_read_at, 2),
+            list_age=round(now - self._sync_client.targets_read_at, 2),
         )
 
 
--- a/packages/node/src/bronzepoint_node/relay/_relay.py
+++ b/packages/node/src/bronzepoint_node/relay/_relay.py
@@ -6,22 +6,22 @@
 from bronzepoint_common.http import Disconnected, Exchange
 from bronzepoint_common.logs import get_logger
 from bronzepoint_node.placement import (
-    NoHome,
+    NoLocalTarget,
     Placement,
-    PlacementAsk,
+    PlacementRequest,
     Placer,
     Rejected,
     RejectReason,
-    RetryAllowance,
+    RetryBudget,
     SchedulerClient,
-    service_of,
+    select_service,
 )
-from bronzepoint_node.quarantine import Held, Quarantine, Standing, TrialEnd
+from bronzepoint_node.quarantine import Blocked, Quarantine, SuspicionLevel, TrialEnd
 
+from ._answer_writer import AnswerWriter
+from ._authenticator import Authenticator
 from ._call import Answered, Call, MayHaveRun, NotRun, Progress, TryOutcome
-from ._final_answers import FinalAnswers
-from ._gate import Gate
-from ._reception import Reception
+from ._request_intake import RequestIntake
 from ._sender import Sender
 
 WAIT_SHARE = 0.5
@@ -42,14 +42,14 @@
     """Serves requests of callers, and those that other regions forward.
 
     Args:
-        reception: Reads new requests, and refuses those that can't be served.
-        gate: Checks whether a waiting request is still admitted.
+        request_intake: Reads new requests, and refuses those that can't be served.
+        authenticator: Checks whether a waiting request is still admitted.
         placer: Chooses between the own region and the others.
         scheduler: Finds targets of the own region.
-        allowance: Limit on the rate of retries.
+        retry_budget: Limit on the rate of retries.
         quarantine: Decides which requests are blocked, or need a trial.
         sender: Sends requests to targets and other regions.
-        answers: Sends final answers.
+        answer_writer: Sends final answers.
 
     Attributes:
         in_progress: Number of requests in progress.
@@ -57,23 +57,23 @@
 
     def __init__(
         self,
-        reception: Reception,
-        gate: Gate,
+        request_intake: RequestIntake,
+        authenticator: Authenticator,
         placer: Placer,
         scheduler: SchedulerClient,
-        allowance: RetryAllowance,
+        retry_budget: RetryBudget,
         quarantine: Quarantine,
         sender: Sender,
-        answers: FinalAnswers,
+        answer_writer: AnswerWriter,
     ) -> None:
-        self._reception = reception
-        self._gate = gate
+        self._request_intake = request_intake
+        self._authenticator = authenticator
         self._placer = placer
         self._scheduler = scheduler
-        self._allowance = allowance
+        self._retry_budget = retry_budget
         self._quarantine = quarantine
         self._sender = sender
-        self._answers = answers
+        self._answer_writer = answer_writer
         self.in_progress = 0
 
     async def serve(self, exchange: Exchange) -> None:
@@ -85,13 +85,13 @@
         await self._serve(exchange, forwarded=True)
 
     async def _serve(self, exchange: Exchange, forwarded: bool) -> None:
-        call = await self._reception.receive(exchange, forwarded)
+        call = await self._request_intake.receive(exchange, forwarded)
         if call is None:
             return
         try:
             await self._serve_until_disconnect(call)
         finally:
-            self._reception.refund(call)
+            self._request_intake.refund(call)
 
     async def _serve_until_disconnect(self, call: Call) -> None:
         """Process a request until it is answered or its caller disconnects.
@@ -111,7 +111,7 @@
             return
         match work.exception:
             case None | curio.TaskCancelled() | Disconnected():
-                self._answers.log_outcome(call, "caller_left")
+                self._answer_writer.log_outcome(call, "caller_left")
                 raise Disconnected("the caller closed its connection")
             case exc:
                 _log.error(
@@ -136,19 +136,19 @@
             raise work.exception
         if not limit.expired or call.exchange.ended or call.exchange.aborted:
             return
-        await self._answers.answer_late(call)
+        await self._answer_writer.answer_late(call)
 
     async def _process(self, call: Call) -> None:
-        service = service_of(call.route, call.head.request_id)
+        service = select_service(call.route, call.head.request_id)
         if not call.forwarded:
-            self._allowance.note_request(service, monotonic())
+            self._retry_budget.note_request(service, monotonic())
         waited_until = monotonic() + WAIT_SHARE * call.route.objective
         while True:
             admission = await self._quarantine.admit(
                 call.fingerprints, waited_until, call.has_permit
             )
-            if isinstance(admission, Held):
-                await self._answers.refuse_blocked(call, admission.retry_after)
+            if isinstance(admission, Blocked):
+                await self._answer_writer.refuse_blocked(call, admission.retry_after)
                 return
             call.suspect = admission.suspect
             call.has_permit = admission.by_permit
@@ -168,13 +168,17 @@
         placement = await self._find_placement(call, until)
         if isinstance(placement, Rejected):
             call.notes.append(
-                self._placer.known_room(self._placement_request(call), monotonic())
+                self._placer.describe_capacity(
+                    self._placement_request(call), monotonic()
+                )
             )
-            await self._answers.reject(call, placement)
+            await self._answer_writer.reject(call, placement)
             return True
         organisation = call.organisation
-        if not self._gate.still_admits(call):
-            await self._answers.reject(call, Rejected(RejectReason.UNAUTHENTICATED, 0))
+        if not self._authenticator.still_admits(call):
+            await self._answer_writer.reject(
+                call, Rejected(RejectReason.UNAUTHENTICATED, 0)
+            )
             return True
         if call.organisation != organisation:
             # The new organisation may be restricted to other regions.
@@ -182,15 +186,15 @@
         if not call.suspect and self._is_suspect(call):
             # The request became a suspect while it was queued.
             return False
-        if call.arrivals and not self._allowance.take(service, monotonic()):
-            await self._answers.give_up(call, call.last_outcome)
+        if call.arrivals and not self._retry_budget.take(service, monotonic()):
+            await self._answer_writer.give_up(call, call.last_outcome)
             return True
         outcome = await self._sender.send(call, placement, service)
         call.last_outcome = outcome
         return await self._finish(call, outcome)
 
     def _is_suspect(self, call: Call) -> bool:
-        return self._quarantine.standing(call.fingerprints) is not Standing.CLEAR
+        return self._quarantine.standing(call.fingerprints) is not SuspicionLevel.CLEAR
 
     async def _find_placement(self, call: Call, until: float) -> Placement:
         """Return a placement, or a rejection if none is found by ``until``."""
@@ -198,14 +202,16 @@
         while True:
             request = self._placement_request(call)
             call.placement_requests += 1
-            found = NoHome()
-            if self._placer.may_stay(request):
-                found = await self._scheduler.find(self._placer.home_ask(request), wait)
+            found = NoLocalTarget()
+            if self._placer.may_serve_locally(request):
+                found = await self._scheduler.find(
+                    self._placer.local_request(request), wait
+                )
             placement = self._placer.decide(request, found, monotonic())
             wait = until - monotonic()
             if wait <= 0 or not self._may_wait(call, placement):
                 return placement
-            if not self._placer.may_stay(request):
+            if not self._placer.may_serve_locally(request):
                 await curio.sleep(min(wait, PLACEMENT_INTERVAL))
 
     def _may_wait(self, call: Call, placement: Placement) -> bool:
@@ -214,8 +220,8 @@
             return False
         return not placement.final
 
-    def _placement_request(self, call: Call) -> PlacementAsk:
-        return PlacementAsk(
+    def _placement_request(self, call: Call) -> PlacementRequest:
+        return PlacementRequest(
             call.head.request_id,
             call.route,
             call.head.prompt,
@@ -234,7 +240,7 @@
         """Answer the caller if the outcome is final; False: try again."""
         match outcome:
             case Answered(streamed=True):
-                self._answers.log_outcome(call, "answered")
+                self._answer_writer.log_outcome(call, "answered")
                 return True
             case Answered() if call.exchange.started:
                 # The caller has received part of a stream. Only its continuation may
@@ -244,11 +250,11 @@
             case Answered(status=status, headers=headers, body=body):
                 if status >= 500 and call.may_repeat:
                     return False
-                self._answers.log_outcome(call, f"answered_{status}")
+                self._answer_writer.log_outcome(call, f"answered_{status}")
                 await call.exchange.respond(status, call.answer_headers(headers), body)
                 return True
             case NotRun(reason="held", retry_after=retry_after):
-                await self._answers.refuse_blocked(call, retry_after)
+                await self._answer_writer.refuse_blocked(call, retry_after)
                 return True
             case NotRun():
                 if call.sends < MAX_SENDS:
@@ -256,7 +262,7 @@
             case MayHaveRun():
                 if call.may_repeat:
                     return False
-        await self._answers.give_up(call, outcome)
+        await self._answer_writer.give_up(call, outcome)
         return True
 
 
--- a/packages/node/src/bronzepoint_node/relay/_reception.py
+++ b/packages/node/src/bronzepoint_node/relay/_request_intake.py
@@ -5,16 +5,16 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.http import BadRequest, Exchange
 from bronzepoint_common.lag import Lag
-from bronzepoint_node.fleet import Follower, ServedCatalogue, ServedRoute
+from bronzepoint_node.fleet import ServedCatalogue, ServedRoute, SyncClient
 from bronzepoint_node.placement import RejectReason
-from bronzepoint_node.quarantine import RequestNames, name_request
+from bronzepoint_node.quarantine import RequestFingerprints, fingerprint_request
 from bronzepoint_node.quota import OverQuota, Quotas
 
+from ._answer_writer import AnswerWriter
+from ._authenticator import Authenticated, Authentication, Authenticator
 from ._call import Call
 from ._codec import CallerHead, Codec
 from ._events import EventSplitter
-from ._final_answers import FinalAnswers
-from ._gate import Authenticated, Authentication, Gate
 from ._host_headers import (
     FINGERPRINT_HEADER,
     MAX_RUNS_HEADER,
@@ -38,37 +38,37 @@
 objective: a request needs several iterations of the loop until its first answer."""
 
 
-class Reception:
+class RequestIntake:
     """Reads new requests, and refuses those that can't be served.
 
     Args:
-        follower: Source of the current catalogue.
-        gate: Authenticates callers.
+        sync_client: Source of the current catalogue.
+        authenticator: Authenticates callers.
         quotas: Quotas of the organisations.
-        answers: Sends final answers.
+        answer_writer: Sends final answers.
         codec: Parses request headers.
         lag: Measured lag of this host's event loop.
     """
 
     def __init__(
         self,
-        follower: Follower,
-        gate: Gate,
+        sync_client: SyncClient,
+        authenticator: Authenticator,
         quotas: Quotas,
-        answers: FinalAnswers,
+        answer_writer: AnswerWriter,
         codec: Codec,
         lag: Lag,
     ) -> None:
-        self._follower = follower
-        self._gate = gate
+        self._sync_client = sync_client
+        self._authenticator = authenticator
         self._quotas = quotas
-        self._answers = answers
+        self._answer_writer = answer_writer
         self._codec = codec
         self._lag = lag
         self._leaving = False
         self._usual = UsualDeadlines()
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuse all new requests from now on, as this host is shutting down."""
         self._leaving = True
 
@@ -86,20 +86,22 @@
             await exchange.respond(400, {}, f"{exc}\n".encode())
             return None
         if await self._wait_for_catalogue(head) is None:
-            await self._answers.refuse(exchange, head, RejectReason.NO_CATALOGUE, 0.5)
+            await self._answer_writer.refuse(
+                exchange, head, RejectReason.NO_CATALOGUE, 0.5
+            )
             return None
         route = await self._find_route(exchange, head)
         if route is None:
             return None
         if self._lag.seconds > LAG_SHARE * route.objective:
-            await self._answers.shed(exchange, head)
+            await self._answer_writer.shed(exchange, head)
             return None
-        catalogue = self._follower.catalogue
+        catalogue = self._sync_client.catalogue
         authentication = await self._authenticate(
             exchange, head, route, catalogue, forwarded
         )
         if not isinstance(authentication, Authenticated):
-            await self._answers.refuse_unauthenticated(
+            await self._answer_writer.refuse_unauthenticated(
                 exchange, head, authentication, catalogue.version
             )
             return None
@@ -107,7 +109,7 @@
         call = self._new_call(exchange, head, route, body, received_at, forwarded)
         call.organisation, call.version = authentication.organisation, catalogue.version
         if self._leaving:
-            await self._answers.refuse(exchange, head, RejectReason.LEAVING, 0.1)
+            await self._answer_writer.refuse(exchange, head, RejectReason.LEAVING, 0.1)
             return None
         return call if await self._charge(call) else None
 
@@ -116,16 +118,16 @@
     ) -> ServedRoute | None:
         """Return the route of a request; None: it has been refused."""
         path = exchange.request.raw_path.partition("?")[0]
-        route = self._follower.catalogue.find_route(head.host, path)
+        route = self._sync_client.catalogue.find_route(head.host, path)
         if route is not None:
             return route
         # A newer version may have added it.
-        is_confirmed = await self._gate.wait_until_confirmed(_deadline(head))
-        catalogue = self._follower.catalogue
+        is_confirmed = await self._authenticator.wait_until_confirmed(_deadline(head))
+        catalogue = self._sync_client.catalogue
         route = catalogue.find_route(head.host, path)
         if route is None:
             await exchange.body()
-            await self._answers.answer_no_route(
+            await self._answer_writer.answer_no_route(
                 exchange, head, catalogue.version, is_confirmed
             )
         return route
@@ -144,7 +146,9 @@
             call.notes.append(charge.note)
             reason = RejectReason.OVER_QUOTA
             wait = charge.retry_after
-            await self._answers.refuse(call.exchange, call.head, reason, wait, call)
+            await self._answer_writer.refuse(
+                call.exchange, call.head, reason, wait, call
+            )
             return False
         call.charge = charge
         return True
@@ -157,11 +161,11 @@
         at the same moment.
         """
         until = monotonic() + min(START_WAIT, START_WAIT_SHARE * _deadline(head))
-        while self._follower.catalogue is None or self._follower.targets is None:
+        while self._sync_client.catalogue is None or self._sync_client.targets is None:
             if monotonic() >= until or self._leaving:
                 break
             await curio.sleep(WAIT_STEP)
-        return self._follower.catalogue
+        return self._sync_client.catalogue
 
     async def _authenticate(
         self,
@@ -173,8 +177,12 @@
     ) -> Authentication:
         if forwarded:
             headers = exchange.request.headers
-            return self._gate.authenticate_forwarded(head, route, catalogue, headers)
-        return await self._gate.authenticate(head, route, catalogue, _deadline(head))
+            return self._authenticator.authenticate_forwarded(
+                head, route, catalogue, headers
+            )
+        return await self._authenticator.authenticate(
+            head, route, catalogue, _deadline(head)
+        )
 
     def _new_call(
         self,
@@ -206,13 +214,13 @@
     return head.deadline if head.deadline is not None else DEFAULT_DEADLINE
 
 
-def _fingerprints(call: Call) -> RequestNames:
+def _fingerprints(call: Call) -> RequestFingerprints:
     request = call.exchange.request
     if call.forwarded:
-        return RequestNames.parse(request.headers.get(FINGERPRINT_HEADER, ""))
+        return RequestFingerprints.parse(request.headers.get(FINGERPRINT_HEADER, ""))
     # The key distinguishes callers that share an address.
     caller = call.exchange.peer.rpartition(":")[0] + (call.head.key or "")
-    return name_request(call.head.host, request.raw_path, caller, call.body)
+    return fingerprint_request(call.head.host, request.raw_path, caller, call.body)
 
 
 def _parse_count(text: str) -> int:
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -8,22 +8,22 @@
 from bronzepoint_common.http import HttpClient
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_node.placement import (
-    AtHome,
-    ColdGate,
-    Elsewhere,
+    ColdStartLimiter,
+    LocalPlacement,
     Placer,
+    RemotePlacement,
     TargetTable,
-    is_silent,
+    is_unresponsive,
 )
-from bronzepoint_node.quarantine import CrashWatch, WatchedRun
+from bronzepoint_node.quarantine import CrashDetector, WatchedRun
 from bronzepoint_schema.generated.decisions import TryResult
 from bronzepoint_schema.generated.fleet import TargetInfo
 from bronzepoint_schema.generated.target_loads import FirstToken, Hold
 from bronzepoint_schema.ids import RegionName
 
+from ._authenticator import Authenticator
 from ._call import Answered, Call, MayHaveRun, NotRun, TryOutcome
-from ._codec import Codec, Copies
-from ._gate import Gate
+from ._codec import Codec, CopyInstructions
 from ._host_headers import (
     FINGERPRINT_HEADER,
     FORWARDED_HEADER,
@@ -68,11 +68,11 @@
         table: Targets of the region.
         placer: Records latencies and unreachable hosts.
         cold: Records requests sent to cold targets.
-        watch: Records failed requests, and detects target crashes.
+        crash_detector: Records failed requests, and detects target crashes.
         client: Connections to targets.
         hosts: Connections to entry hosts of other regions.
         codec: Builds request headers and classifies answers.
-        gate: Signs the organisation header of forwarded requests.
+        authenticator: Signs the organisation header of forwarded requests.
         metrics: Counters.
     """
 
@@ -81,27 +81,27 @@
         region: RegionName,
         table: TargetTable,
         placer: Placer,
-        cold: ColdGate,
-        watch: CrashWatch,
+        cold: ColdStartLimiter,
+        crash_detector: CrashDetector,
         client: HttpClient,
         hosts: HttpClient,
         codec: Codec,
-        gate: Gate,
+        authenticator: Authenticator,
         metrics: Metrics,
     ) -> None:
         self._region = region
         self._table = table
         self._placer = placer
         self._cold = cold
-        self._watch = watch
+        self._crash_detector = crash_detector
         self._client = client
         self._hosts = hosts
         self._codec = codec
-        self._gate = gate
+        self._authenticator = authenticator
         self._metrics = metrics
 
     async def send(
-        self, call: Call, placement: AtHome | Elsewhere, service: str
+        self, call: Call, placement: LocalPlacement | RemotePlacement, service: str
     ) -> TryOutcome:
         """Send a request to its placement, and stream the answer to the caller.
 
@@ -117,9 +117,9 @@
         call.sends += 1
         call.written = False
         match placement:
-            case AtHome():
+            case LocalPlacement():
                 outcome = await self._try_target(call, placement, service)
-            case Elsewhere():
+            case RemotePlacement():
                 outcome = await self._try_region(call, placement, service)
         if not isinstance(outcome, NotRun):
             call.runs += 1
@@ -128,7 +128,7 @@
             call.written = False
             call.arrivals += outcome.by_target
         call.notes[-1] += f" -> {outcome.reason}"
-        if isinstance(outcome, MayHaveRun) and isinstance(placement, AtHome):
+        if isinstance(outcome, MayHaveRun) and isinstance(placement, LocalPlacement):
             await self._check_whether_ended(call, placement.target.info)
         self._metrics.incr(f"try.{outcome.reason}")
         return outcome
@@ -137,26 +137,26 @@
         """Exclude a run whose target has ended, if the limit of runs is reached."""
         if not call.route.repeatable:
             # No retry depends on the result, so the caller needn't wait for it.
-            await curio.spawn(self._watch.look, target, daemon=True)
+            await curio.spawn(self._crash_detector.check_crash, target, daemon=True)
             return
-        ended = await self._watch.look(target)
+        ended = await self._crash_detector.check_crash(target)
         if ended and call.counted_runs >= call.max_runs:
             call.ended_runs += 1
             call.notes[-1] += ", ended"
             self._metrics.incr("try.target_ended")
 
     async def _try_target(
-        self, call: Call, placement: AtHome, service: str
+        self, call: Call, placement: LocalPlacement, service: str
     ) -> TryOutcome:
         target = placement.target
         name = target.info.incarnation
         now = monotonic()
         if now < target.cold_until:
             self._cold.note_sent(name, now)
-        if is_silent(target, now):
+        if is_unresponsive(target, now):
             target.trial_at = now
         call.tried.add(name)
-        staleness_ms = round(placement.known_age * 1000)
+        staleness_ms = round(placement.staleness * 1000)
         call.staleness_ms.append(staleness_ms)
         self._metrics.timing("schedule.known_ms", staleness_ms)
         call.notes.append(f"{name}@{target.info.address}: {placement.reason}")
@@ -164,14 +164,14 @@
         speeds, rank = self._placer.speeds, call.rank(now)
         prompt, source = call.head.prompt, placement.fetch_from
         uncached = target.begin(run_id, prompt, rank, now, placement.cached_tokens)
-        watched = self._watch.begin(
+        watched = self._crash_detector.begin(
             target.info, call.fingerprints, call.suspect, placement.quiet
         )
         if call.suspect:
             target.trials.add(watched)
 
         def on_progress(events: int, seconds: float) -> None:
-            self._watch.note_event(target.info, watched)
+            self._crash_detector.record_event(target.info, watched)
             run = target.load.runs.get(run_id)
             if run is None:
                 return
@@ -191,7 +191,7 @@
             name,
             rank,
             call.events.last_id,
-            Copies(fetch_from=source.info.address if source else ""),
+            CopyInstructions(fetch_from=source.info.address if source else ""),
             call.organisation.name if call.organisation is not None else None,
         )
         destination = Destination(
@@ -206,7 +206,9 @@
         try:
             attempt = Try(self._client, self._codec, call, on_progress)
             outcome = await self._run_while_reachable(
-                call, attempt.run(destination), lambda: is_silent(target, monotonic())
+                call,
+                attempt.run(destination),
+                lambda: is_unresponsive(target, monotonic()),
             )
             result = _result_of(outcome)
         finally:
@@ -220,9 +222,9 @@
                 # The target list is outdated. Until its next update every request
                 # placed on this target would be sent there and refused.
                 target.note_replaced()
-                self._watch.note_replaced(target.info)
+                self._crash_detector.record_replacement(target.info)
             case NotRun(reason="connect_failed"):
-                target.note_unreached(monotonic())
+                target.record_failed_connection(monotonic())
         if result is TryResult.answered:
             speeds.note_hold(Hold(service, round(seconds * 1000)))
         return outcome
@@ -232,14 +234,14 @@
     ) -> None:
         match outcome:
             case Answered():
-                self._watch.note_answered(target, run)
+                self._crash_detector.record_answered(target, run)
             case NotRun():
-                self._watch.note_not_run(target, run)
+                self._crash_detector.record_not_run(target, run)
             case MayHaveRun() | None:
-                self._watch.note_broken(target, run)
+                self._crash_detector.record_failure(target, run)
 
     async def _try_region(
-        self, call: Call, placement: Elsewhere, service: str
+        self, call: Call, placement: RemotePlacement, service: str
     ) -> TryOutcome:
         call.tried_hosts.add(placement.host)
         call.notes.append(f"{placement.region} {placement.host}: {placement.reason}")
@@ -249,7 +251,7 @@
         headers = self._codec.target_headers(
             call.head, call.time_left, "", None, call.events.last_id
         )
-        headers |= self._gate.organisation_header(call)
+        headers |= self._authenticator.organisation_header(call)
         headers[FORWARDED_HEADER] = self._region
         headers[FINGERPRINT_HEADER] = str(call.fingerprints)
         if call.has_permit:
@@ -276,10 +278,10 @@
         finally:
             # A refused request still counts as in progress there: the region is full.
             if not isinstance(outcome, NotRun):
-                regions.note_returned(placement.region, service, run_id)
+                regions.record_returned(placement.region, service, run_id)
         match outcome:
             case NotRun(reason="connect_failed"):
-                regions.note_lost_host(placement.host, monotonic())
+                regions.record_unreachable_host(placement.host, monotonic())
             case Answered(headers=answered):
                 _update_runs(call, answered)
         return outcome
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -12,15 +12,15 @@
 from bronzepoint_node.core._target_reader import Reading
 from bronzepoint_node.fleet import (
     CallerLimits,
-    EngineFacts,
+    EngineProperties,
     Registry,
     ServedCatalogue,
     ServedService,
 )
 from bronzepoint_node.placement import (
-    AtHome,
-    ColdGate,
+    ColdStartLimiter,
     LoadExchange,
+    LocalPlacement,
     Placer,
     Prompt,
     PromptPart,
@@ -30,7 +30,7 @@
     SchedulerClient,
     TargetTable,
 )
-from bronzepoint_node.placement._home_ask import HomeAsk
+from bronzepoint_node.placement._local_request import LocalPlacementRequest
 from bronzepoint_schema.generated.fleet import (
     EntryHost,
     EntryState,
@@ -60,7 +60,7 @@
         self.sent_bytes = Counter()
         self.names = [f"10.1.0.{number}" for number in range(hosts)]
         self.engine = ServedService(
-            "s", "/h", 100, engine=EngineFacts(SLOTS, memory_tokens)
+            "s", "/h", 100, engine=EngineProperties(SLOTS, memory_tokens)
         )
         self.targets = [f"t{number}" for number in range(targets)]
         self._posted = []
@@ -141,7 +141,7 @@
             {"z": "r"},
             self,
             self.registry,
-            self.registry.hear_loads,
+            self.registry.merge_loads,
             lambda: Reading(region.infos(), 0.0),
             lambda: (region.catalogue(), frozenset()),
             _no_report,
@@ -178,17 +178,17 @@
         services = region.catalogue().services
         self.table.update(region.infos(), 0.0, services, frozenset(), monotonic())
         registry = self.registry = Registry()
-        registry.hear_entries(
+        registry.merge_entries(
             EntryHost(n, "r", "z", n, n, EntryState.ready, 0) for n in region.names
         )
-        cold = ColdGate(name)
+        cold = ColdStartLimiter(name)
         self.placer = Placer(
             "r",
             self.table,
             registry,
             cold,
             random.Random(name),
-            lambda: self.exchange.choosers(region.names),
+            lambda: self.exchange.selecting_hosts(region.names),
         )
         others = [other for other in region.names if other != name]
         self.reservations = Reservations()
@@ -202,7 +202,7 @@
             lambda: region.core_names,
         )
         scheduler = Scheduler(
-            name, self.placer.home, cold, self.reservations, self.exchange.known_age
+            name, self.placer.home, cold, self.reservations, self.exchange.staleness
         )
         self.client = SchedulerClient(
             self, self.table, self.exchange, scheduler, registry, self.metrics
@@ -217,12 +217,14 @@
     def make_request(self, rank=0, tokens=100, arrived=None, avoided=()):
         now = monotonic()
         at = now if arrived is None else arrived
-        return HomeAsk("id", "s", prompt(tokens), 5.0, rank, at, set(avoided))
+        return LocalPlacementRequest(
+            "id", "s", prompt(tokens), 5.0, rank, at, set(avoided)
+        )
 
     async def send(self, run_id, wait=0.0, **options):
         """Find a target and count a request there, as a sender does."""
         request = self.make_request(**options)
         found = await self.client.find(request, wait)
-        if isinstance(found, AtHome):
+        if isinstance(found, LocalPlacement):
             found.target.begin(run_id, request.prompt, request.rank, monotonic())
         return found
--- a/tests/test_placement_fetch.py
+++ b/tests/test_placement_fetch.py
@@ -4,8 +4,13 @@
 
 from nose2.tools import params
 
-from bronzepoint_node.fleet import EngineFacts, ServedService
-from bronzepoint_node.placement import AtHome, Elsewhere, Prompt, PromptPart
+from bronzepoint_node.fleet import EngineProperties, ServedService
+from bronzepoint_node.placement import (
+    LocalPlacement,
+    Prompt,
+    PromptPart,
+    RemotePlacement,
+)
 from bronzepoint_node.placement._fetch_source import MIN_TOKENS, fetch_source
 from bronzepoint_node.placement._region_owner import weighted_owner
 from tests.test_placement_placer import Site, info
@@ -22,8 +27,10 @@
 
 
 def site(copy_seconds=FAST, targets=("t1", "t2", "t3")):
-    facts = EngineFacts(64, 400_000, token_bytes=copy_seconds * 1e9, link_bytes=1e9)
-    service = ServedService("s", "/h", 100, 3.0, 2.0, facts)
+    properties = EngineProperties(
+        64, 400_000, token_bytes=copy_seconds * 1e9, link_bytes=1e9
+    )
+    service = ServedService("s", "/h", 100, 3.0, 2.0, properties)
     return Site(*(info(name) for name in targets), service=service)
 
 
@@ -82,7 +89,7 @@
         self.assertEqual(read, 100)
         self.assertEqual(target.memory.cached_tokens(prompt()), 5100)
 
-    @params((True, AtHome), (False, Elsewhere))
+    @params((True, LocalPlacement), (False, RemotePlacement))
     def test_region_that_keeps_a_part_fetches_it(self, kept_here, expected):
         """Guards against forwarding a prompt whose shared part is cached here.
 
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -9,7 +9,7 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_node.fleet import (
-    EngineFacts,
+    EngineProperties,
     Registry,
     RouteKind,
     ServedRoute,
@@ -17,21 +17,21 @@
     ServiceShare,
 )
 from bronzepoint_node.placement import (
-    AtHome,
-    ColdGate,
-    Elsewhere,
+    ColdStartLimiter,
+    EnginePoller,
     EngineReport,
-    PlacementAsk,
+    LocalPlacement,
+    PlacementRequest,
     Placer,
-    Prober,
     Prompt,
     PromptPart,
     Rejected,
+    RemotePlacement,
     ReportOfOtherStart,
     ReportUnavailable,
     ReportUnreadable,
     TargetTable,
-    is_silent,
+    is_unresponsive,
 )
 from bronzepoint_node.placement._region_owner import weighted_owner
 from bronzepoint_schema.generated.decisions import TryResult
@@ -42,7 +42,7 @@
     TargetInfo,
 )
 
-ENGINE = ServedService("s", "/h", 100, 3.0, 2.0, EngineFacts(64, 200_000))
+ENGINE = ServedService("s", "/h", 100, 3.0, 2.0, EngineProperties(64, 200_000))
 PLAIN = ServedService("s", "/h", 100)
 
 
@@ -69,10 +69,10 @@
         for region in "abc":
             name = f"{region}1"
             host = EntryHost(name, region, "z", name, name, EntryState.ready, 0)
-            self.registry.hear_entries([host])
+            self.registry.merge_entries([host])
         self.update(targets, closed)
         self.placer = Placer(
-            "a", self.table, self.registry, ColdGate("a1"), random.Random(1)
+            "a", self.table, self.registry, ColdStartLimiter("a1"), random.Random(1)
         )
 
     def update(self, targets, closed=(), age=0.0):
@@ -81,10 +81,10 @@
 
     def remote_loads(self, **in_progress):
         for region, count in in_progress.items():
-            self.registry.hear_loads([RegionLoad(region, "s", 64, count, 0, 0)])
+            self.registry.merge_loads([RegionLoad(region, "s", 64, count, 0, 0)])
 
     def make_request(self, of_route=None, prompt=None, forwarded=False, tried=()):
-        return PlacementAsk(
+        return PlacementRequest(
             "id", of_route or route(), prompt, forwarded, 5.0, set(tried), set(), 0
         )
 
@@ -94,11 +94,11 @@
 
 class TestLocalOrRemote(unittest.TestCase):
     @params(
-        ([info("t1")], (), {"b": 0}, False, AtHome),
+        ([info("t1")], (), {"b": 0}, False, LocalPlacement),
         # targets that may get no requests
-        ([info("t1", leaving=True)], (), {"b": 0}, False, Elsewhere),
-        ([info("t1")], ("a-1",), {"b": 0}, False, Elsewhere),
-        ([], (), {"b": 0}, False, Elsewhere),
+        ([info("t1", leaving=True)], (), {"b": 0}, False, RemotePlacement),
+        ([info("t1")], ("a-1",), {"b": 0}, False, RemotePlacement),
+        ([], (), {"b": 0}, False, RemotePlacement),
         # another region is full, or none is known
         ([], (), {"b": 96}, False, Rejected),
         ([], (), {}, False, Rejected),
@@ -128,7 +128,7 @@
         site.remote_loads(b=0)
         for name, lags in (("b1", all_lag), ("b2", True)):
             host = EntryHost(name, "b", "z", name, name, EntryState.ready, 0, lags)
-            site.registry.hear_entries([host])
+            site.registry.merge_entries([host])
         self.assertEqual({site.place().host for _ in range(40)}, expected)
 
     def test_route_bound_to_another_region_is_forwarded(self):
@@ -140,13 +140,17 @@
         site = Site(info("t1"), closed=("a-1",))
         site.remote_loads(b=200)
         self.assertGreater(site.place().retry_after, 0)
-        known = site.placer.known_room(site.make_request(), site.now)
+        known = site.placer.describe_capacity(site.make_request(), site.now)
         for text in ("b 200/64", "closed ['a-1']"):
             self.assertIn(text, known)
 
 
 class TestLongPrompts(unittest.TestCase):
-    @params((0, math.inf, Elsewhere), (37_000, 6e5, AtHome), (37_000, 1e8, Elsewhere))
+    @params(
+        (0, math.inf, RemotePlacement),
+        (37_000, 6e5, LocalPlacement),
+        (37_000, 1e8, RemotePlacement),
+    )
     def test_body_that_takes_long_on_a_narrow_link_stays(self, size, link, expected):
         """Guards against late answers to long prompts that were forwarded.
 
@@ -158,14 +162,14 @@
         site = Site(info("t1"))
         site.remote_loads(b=0)
         site.placer.regions._link_bytes = link
-        local = AtHome(site.table.get("t1"), "", 0.38)
+        local = LocalPlacement(site.table.get("t1"), "", 0.38)
         request = site.make_request()
         request.body_bytes = size
         self.assertIsInstance(site.placer.decide(request, local, site.now), expected)
 
 
 class TestForwardedRequests(unittest.TestCase):
-    @params((True, Elsewhere), (False, Rejected))
+    @params((True, RemotePlacement), (False, Rejected))
     def test_answered_requests_free_capacity(self, answered, expected):
         """Guards against refused requests while the other regions are idle.
 
@@ -174,12 +178,12 @@
         there since and have been answered, but would count as in progress.
         """
         site = Site(info("t1"), service=PLAIN, closed=("a-1",))
-        site.registry.hear_loads([RegionLoad("b", "s", 6, 0, 0, 600)])
+        site.registry.merge_loads([RegionLoad("b", "s", 6, 0, 0, 600)])
         regions = site.placer.regions
         for number in range(10):
             regions.note_forwarded("b", "s", str(number), site.now)
             if answered:
-                regions.note_returned("b", "s", str(number))
+                regions.record_returned("b", "s", str(number))
         self.assertIsInstance(site.place(), expected)
 
 
@@ -220,12 +224,12 @@
         unresponsive.record_failure(site.now - 1.0)
         unresponsive.record_failure(site.now - 0.5)
         first = site.place()
-        self.assertIsInstance(first, AtHome)
+        self.assertIsInstance(first, LocalPlacement)
         unresponsive.trial_at = site.now
-        expected = Elsewhere if remote_loads else Rejected
+        expected = RemotePlacement if remote_loads else Rejected
         self.assertIsInstance(site.place(), expected)
         site.now += 1.1
-        self.assertIsInstance(site.place(), AtHome)
+        self.assertIsInstance(site.place(), LocalPlacement)
 
     def test_any_answer_makes_a_target_responsive(self):
         site = Site(info("t1"), service=PLAIN)
@@ -233,7 +237,7 @@
         target.record_failure(site.now - 1.0)
         target.record_failure(site.now - 0.5)
         site.table.note_result(target, TryResult.answered, 0.1, site.now)
-        self.assertFalse(is_silent(target, site.now))
+        self.assertFalse(is_unresponsive(target, site.now))
 
     def test_engine_that_reads_a_long_prompt_is_avoided(self):
         site = Site(info("t1"), info("t2"))
@@ -256,7 +260,7 @@
         for _ in range(int(seconds * 50) + 1):
             site.now += 0.02
             placement = site.place()
-            if isinstance(placement, AtHome):
+            if isinstance(placement, LocalPlacement):
                 site.placer.home._cold.note_sent("t1", site.now)
                 sent += 1
         self.assertLessEqual(sent, 1 + seconds * 2.0 * 0.7)
@@ -302,21 +306,21 @@
         site.remote_loads(b=0, c=0)
         prompt = self.prompt_owned_by("b")
         site.table.get("t1").memory.note_used(prompt)
-        self.assertIsInstance(site.place(prompt=prompt), AtHome)
+        self.assertIsInstance(site.place(prompt=prompt), LocalPlacement)
 
     def test_busy_cache_holder_is_not_waited_for(self):
         site = Site(info("t1"))
-        site.registry.hear_loads([RegionLoad("b", "s", 64, 10, 900, 0)])
+        site.registry.merge_loads([RegionLoad("b", "s", 64, 10, 900, 0)])
         site.remote_loads(c=0)
         placement = site.place(prompt=self.prompt_owned_by("b"))
-        self.assertIsInstance(placement, AtHome)
+        self.assertIsInstance(placement, LocalPlacement)
 
 
 if __name__ == "__main__":
     unittest.main()
 
 
-class TestProber(unittest.TestCase):
+class TestEnginePoller(unittest.TestCase):
     @params(
         (ReportUnavailable("no answer"), 1, False),
         (ReportUnreadable("running: expected int"), 0, False),
@@ -343,10 +347,10 @@
             return report
 
         async def main():
-            prober = Prober(site.table, read, lambda: 1)
-            await prober.start()
+            engine_poller = EnginePoller(site.table, read, lambda: 1)
+            await engine_poller.start()
             await again.wait()
-            await prober.close()
+            await engine_poller.close()
 
         again = curio.Event()
 
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -7,7 +7,7 @@
 
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.peers import Area
-from bronzepoint_node.placement import AtHome, NoHome, Prompt, PromptPart
+from bronzepoint_node.placement import LocalPlacement, NoLocalTarget, Prompt, PromptPart
 from bronzepoint_node.placement._engine_load import (
     RESERVATION_EXPIRY,
     EngineLoad,
@@ -15,12 +15,12 @@
 )
 from bronzepoint_node.placement._load_collector import NOTICE_INTERVAL
 from bronzepoint_node.placement._load_exchange import REPORT_INTERVAL
+from bronzepoint_node.placement._request_queue import POLL_INTERVAL
 from bronzepoint_node.placement._scheduler_client import (
     ANSWER_TIMEOUT,
     MAX_UNANSWERED,
 )
 from bronzepoint_node.placement._tracked_target import UNRESPONSIVE_AFTER
-from bronzepoint_node.placement._waiting_line import POLL_INTERVAL
 from bronzepoint_schema.generated.scheduling import TargetGrant
 from bronzepoint_schema.generated.target_loads import TargetLoad
 from tests._scheduling_region import SLOTS, Region
@@ -47,7 +47,7 @@
     """Send a request as a host that relies on the last reports it received."""
     request = host.make_request()
     found = host.placer.home.choose(request, monotonic())
-    if isinstance(found, AtHome):
+    if isinstance(found, LocalPlacement):
         found.target.begin(run_id, request.prompt, 0, monotonic())
 
 
@@ -127,7 +127,7 @@
 
 class TestSeenByOneHost(unittest.TestCase):
     # An unreachable target is tried periodically.
-    @params(("note_replaced", 0), ("note_unreached", 1))
+    @params(("note_replaced", 0), ("record_failed_connection", 1))
     def test_failure_seen_by_one_host_is_reported_to_the_others(self, seen, trials):
         """Guards against refusals after a crash although there is free capacity.
 
@@ -144,7 +144,7 @@
                         if seen == "note_replaced":
                             tracked.note_replaced()
                         else:
-                            tracked.note_unreached(monotonic())
+                            tracked.record_failed_connection(monotonic())
                 await curio.sleep(UNRESPONSIVE_AFTER + 3 * REPORT_INTERVAL)
                 found = [await h.send("x") for h in region.members[5:25]]
                 names = [each.target.info.incarnation for each in found]
@@ -198,7 +198,7 @@
                 host = next(iter(region.hosts.values()))
                 return await host.send("x")
 
-        self.assertIsInstance(curio.run(main), AtHome)
+        self.assertIsInstance(curio.run(main), LocalPlacement)
 
 
 class TestReservations(unittest.TestCase):
@@ -255,7 +255,7 @@
                 return took, found, host.exchange.scheduler, dead.name
 
         took, found, scheduler, dead = curio.run(main)
-        self.assertTrue(all(isinstance(each, AtHome) for each in found))
+        self.assertTrue(all(isinstance(each, LocalPlacement) for each in found))
         self.assertNotEqual(scheduler, dead)
         self.assertGreaterEqual(min(took[:MAX_UNANSWERED]), ANSWER_TIMEOUT)
         self.assertLess(sum(took[MAX_UNANSWERED:]), ANSWER_TIMEOUT)
@@ -316,7 +316,7 @@
                     found = await members[number].send(
                         "x", wait=0.2, rank=ranks[number], arrived=arrived
                     )
-                    if isinstance(found, AtHome):
+                    if isinstance(found, LocalPlacement):
                         served.append(number)
 
                 async with curio.TaskGroup() as group:
@@ -403,7 +403,7 @@
                 member = region.members[0]
                 return await member.send("x", wait=0.1)
 
-        self.assertEqual(curio.run(main), NoHome(late=False))
+        self.assertEqual(curio.run(main), NoLocalTarget(late=False))
 
 
 class TestTalk(unittest.TestCase):
--- a/tests/test_policy_whole.py
+++ b/tests/test_policy_whole.py
@@ -6,7 +6,14 @@
 from nose2.tools import params
 
 from bronzepoint_common.metrics import Metrics
-from bronzepoint_node.policy import Away, Home, Policy, Refused, RegionHosts, RegionView
+from bronzepoint_node.policy import (
+    LocalPlacement,
+    Policy,
+    Refused,
+    RegionHosts,
+    RegionView,
+    RemotePlacement,
+)
 from bronzepoint_schema.generated.decisions import RetryReason, TryResult
 from bronzepoint_schema.generated.settings import PolicyChoice, PolicySection
 from tests._policy_fakes import Bounds, FakeCatalogue, FakeNet, request, target
@@ -39,13 +46,13 @@
         placed = await self.policy.place(
             ticket, lambda: self.views, lambda: self.regions
         )
-        if isinstance(placed, Home):
+        if isinstance(placed, LocalPlacement):
             placed.target.in_flight += 1
         return ticket, placed
 
     async def finish(self, ticket, placed, result=TryResult.answered):
         placed.target.in_flight -= 1
-        await self.policy.try_ended(ticket, placed, result, 0.1)
+        await self.policy.record_try(ticket, placed, result, 0.1)
         await self.policy.leave(ticket, True, 10)
 
 
@@ -53,7 +60,7 @@
     def test_record_names_all_candidates_and_limits(self):
         harness = Harness(acme=Bounds(rate=10))
         _, placed = curio.run(harness.place, request())
-        self.assertIsInstance(placed, Home)
+        self.assertIsInstance(placed, LocalPlacement)
         names = {candidate.name for candidate in placed.candidates}
         self.assertEqual(names, {"bkk", "sgp", "a", "b"})
         self.assertIn("limits: within owner:acme", placed.notes)
@@ -63,7 +70,7 @@
         harness = Harness()
         harness.views = []
         _, away = curio.run(harness.place, request())
-        self.assertIsInstance(away, Away)
+        self.assertIsInstance(away, RemotePlacement)
         _, refused = curio.run(harness.place, request(allowed_regions=["bkk"]))
         self.assertEqual(refused.kind, "no_target")
 
@@ -93,7 +100,7 @@
             _, again = await waiting.join()
             return again
 
-        self.assertIsInstance(curio.run(main), Home)
+        self.assertIsInstance(curio.run(main), LocalPlacement)
 
     def test_limit_refuses(self):
         harness = Harness(acme=Bounds(in_progress=1))
@@ -108,7 +115,7 @@
         refused, again = curio.run(main)
         self.assertEqual(refused.kind, "in_progress_limited")
         self.assertGreater(refused.retry_after, 0)
-        self.assertIsInstance(again, Home)
+        self.assertIsInstance(again, LocalPlacement)
 
     def test_waiting_request_starts_when_one_ends(self):
         harness = Harness()
@@ -125,7 +132,7 @@
             return placed
 
         placed = curio.run(main)
-        self.assertIsInstance(placed, Home)
+        self.assertIsInstance(placed, LocalPlacement)
         self.assertIn("admission: waited", placed.notes[-1])
 
     @params((True, 1.0), (False, 0.0))
@@ -141,7 +148,7 @@
 
         async def main():
             ticket, placed = await harness.place(request(idempotent=idempotent))
-            await harness.policy.try_ended(ticket, placed, TryResult.timeout, None)
+            await harness.policy.record_try(ticket, placed, TryResult.timeout, None)
             may_retry_it = harness.policy.may_retry(
                 ticket, RetryReason.target_error, "sgp"
             )
@@ -149,8 +156,8 @@
             return placed, may_retry_it, again
 
         placed, may_retry_it, again = curio.run(main)
-        self.assertGreaterEqual(placed.patience, least)
-        self.assertEqual(placed.patience > 0, idempotent)
+        self.assertGreaterEqual(placed.max_wait, least)
+        self.assertEqual(placed.max_wait > 0, idempotent)
         self.assertEqual(may_retry_it, idempotent)
         self.assertEqual(again.kind, "no_target")
 
@@ -160,7 +167,7 @@
 
         async def main():
             ticket, placed = await harness.place(request())
-            await harness.policy.try_ended(
+            await harness.policy.record_try(
                 ticket, placed, TryResult.refused_by_target, None
             )
             may_retry_it = harness.policy.may_retry(
@@ -200,5 +207,7 @@
             return free, home
 
         free, home = curio.run(main)
-        self.assertEqual({type(placed) for placed in free}, {Home, Away})
-        self.assertEqual({type(placed) for placed in home}, {Home})
+        self.assertEqual(
+            {type(placed) for placed in free}, {LocalPlacement, RemotePlacement}
+        )
+        self.assertEqual({type(placed) for placed in home}, {LocalPlacement})
--- a/tests/test_quarantine_admission.py
+++ b/tests/test_quarantine_admission.py
@@ -10,18 +10,18 @@
 from bronzepoint_common.clock import monotonic
 from bronzepoint_common.metrics import Metrics
 from bronzepoint_common.peers import PeerTimeout
-from bronzepoint_node.core import QuarantineKeeper
+from bronzepoint_node.core import CoreQuarantine
 from bronzepoint_node.core._trial_permits import TrialPermits
 from bronzepoint_node.quarantine import (
     RETENTION,
     Admitted,
+    Blocked,
     Crash,
     CrashRecord,
     CrashTable,
-    Held,
     Quarantine,
-    RequestNames,
-    Standing,
+    RequestFingerprints,
+    SuspicionLevel,
     TrialEnd,
     WatchedRun,
 )
@@ -55,7 +55,7 @@
         return self.reply
 
 
-Q = RequestNames("q", "*q")
+Q = RequestFingerprints("q", "*q")
 
 
 def add_crashes(table, name, crashes, alone=False):
@@ -70,8 +70,10 @@
 
 def failed_run(name, suspect=False):
     now = monotonic()
-    names = RequestNames(name, f"*{name}")
-    return WatchedRun(names, now - 0.1, ended_at=now, suspect=suspect, quiet=suspect)
+    fingerprints = RequestFingerprints(name, f"*{name}")
+    return WatchedRun(
+        fingerprints, now - 0.1, ended_at=now, suspect=suspect, quiet=suspect
+    )
 
 
 def make_quarantine(reply=None, core=("c1", "c2", "c3")):
@@ -87,40 +89,40 @@
         (1, False, None, Admitted()),
         (2, False, None, Admitted(suspect=True)),
         (3, False, TrialReply(True, 0), Admitted(suspect=True, by_permit=True)),
-        (3, False, TrialReply(False, 60_000), Held),
-        (3, False, None, Held),
-        (3, True, TrialReply(True, 0), Held),
-        (5, False, TrialReply(True, 0), Held),
+        (3, False, TrialReply(False, 60_000), Blocked),
+        (3, False, None, Blocked),
+        (3, True, TrialReply(True, 0), Blocked),
+        (5, False, TrialReply(True, 0), Blocked),
     )
     def test_admission_depends_on_crashes(self, crashes, alone, reply, expected):
         quarantine, table, links = make_quarantine(reply)
         add_crashes(table, "q", crashes, alone)
         admission = curio.run(quarantine.admit, Q, monotonic())
-        if expected is Held:
-            self.assertIsInstance(admission, Held)
+        if expected is Blocked:
+            self.assertIsInstance(admission, Blocked)
             self.assertGreater(admission.retry_after, 1.0)
         else:
             self.assertEqual(admission, expected)
         self.assertEqual(len(links.calls), int(crashes == 3 and not alone))
 
-    @params((1, Admitted()), (2, Admitted(True)), (5, Held))
+    @params((1, Admitted()), (2, Admitted(True)), (5, Blocked))
     def test_content_counts_for_all_callers(self, callers, expected):
         """Guards against a caller that uses another address for each request."""
         quarantine, table, _ = make_quarantine(TrialReply(False, 60_000))
         for number in range(callers):
             run = failed_run("q")
-            run.names = RequestNames(f"q{number}", "*q")
+            run.fingerprints = RequestFingerprints(f"q{number}", "*q")
             quarantine.note_crash(Crash(target(f"t{number}"), monotonic(), [run]))
-        names = RequestNames("q of another", "*q")
-        admission = curio.run(quarantine.admit, names, monotonic())
-        if expected is Held:
-            self.assertIsInstance(admission, Held)
+        fingerprints = RequestFingerprints("q of another", "*q")
+        admission = curio.run(quarantine.admit, fingerprints, monotonic())
+        if expected is Blocked:
+            self.assertIsInstance(admission, Blocked)
         else:
             self.assertEqual(admission, expected)
 
     def test_ordinary_request_needs_no_permit(self):
         quarantine, _, links = make_quarantine()
-        curio.run(quarantine.admit, RequestNames("a", "*a"), monotonic())
+        curio.run(quarantine.admit, RequestFingerprints("a", "*a"), monotonic())
         self.assertEqual(links.calls, [])
 
     def test_all_hosts_request_a_permit_from_the_same_host(self):
@@ -143,13 +145,13 @@
             late = await quarantine.admit(Q, monotonic())
             second = await curio.spawn(quarantine.admit, Q, until)
             await curio.sleep(0.05)
-            quarantine.note_answered(Q)
+            quarantine.record_answered(Q)
             quarantine.end_trial(Q)
             return first, late, await second.join()
 
         first, late, second = curio.run(main)
         self.assertEqual(first, Admitted(suspect=True))
-        self.assertIsInstance(late, Held)
+        self.assertIsInstance(late, Blocked)
         self.assertEqual(second, Admitted())
 
 
@@ -159,9 +161,9 @@
         for name in ("t1", "t2"):
             quarantine.note_crash(Crash(target(name), monotonic(), [failed_run("q")]))
         self.assertEqual([peer for peer, _ in links.posted], ["c1", "c2", "c3"] * 2)
-        self.assertIs(table.standing("q"), Standing.SUSPECT)
-        quarantine.note_answered(Q)
-        self.assertIs(table.standing("q"), Standing.CLEAR)
+        self.assertIs(table.standing("q"), SuspicionLevel.SUSPECT)
+        quarantine.record_answered(Q)
+        self.assertIs(table.standing("q"), SuspicionLevel.CLEAR)
         self.assertTrue(links.posted[-1][1].cases[0].marks[0].cleared)
 
     def test_undisturbed_trial_counts_as_alone(self):
@@ -171,7 +173,7 @@
         self.assertTrue(table.record("q").crash_records["t1"].alone)
         self.assertFalse(table.record("a").crash_records["t1"].alone)
 
-    @params(("x-a", Standing.CLEAR), ("", Standing.SUSPECT))
+    @params(("x-a", SuspicionLevel.CLEAR), ("", SuspicionLevel.SUSPECT))
     def test_data_center_outage_makes_no_request_a_suspect(self, data_center, expected):
         """Guards against a power failure that makes suspects of all its requests."""
         quarantine, table, _ = make_quarantine()
@@ -229,24 +231,24 @@
         self.assertEqual(calls, permit_queries)
 
 
-class TestKeeper(unittest.TestCase):
+class TestCoreQuarantine(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def keeper(self):
+    def core_quarantine(self):
         links = StubPeers()
-        return QuarantineKeeper(links, self.folder, lambda: ["e1", "e2"]), links
+        return CoreQuarantine(links, self.folder, lambda: ["e1", "e2"]), links
 
     def test_restart_of_all_hosts_keeps_records(self):
         async def main():
-            keeper, _ = self.keeper()
-            await keeper.start()
-            add_crashes(keeper.table, "q", 3, alone=True)
-            await keeper._save()
-            await keeper.close()
-            restarted, _ = self.keeper()
+            core_quarantine, _ = self.core_quarantine()
+            await core_quarantine.start()
+            add_crashes(core_quarantine.table, "q", 3, alone=True)
+            await core_quarantine._save()
+            await core_quarantine.close()
+            restarted, _ = self.core_quarantine()
             await restarted.start()
             await restarted.close()
             return restarted.table.standing("q"), restarted.table.blocked_for(
@@ -254,17 +256,17 @@
             )
 
         standing, time_left = curio.run(main)
-        self.assertIs(standing, Standing.HELD)
+        self.assertIs(standing, SuspicionLevel.HELD)
         self.assertAlmostEqual(time_left, RETENTION, delta=60.0)
 
     def test_damaged_file_does_not_prevent_the_start(self):
         (self.folder / "quarantine.snapshot").write_bytes(b"damaged")
 
         async def main():
-            keeper, _ = self.keeper()
-            await keeper.start()
-            await keeper.close()
-            return len(keeper.table)
+            core_quarantine, _ = self.core_quarantine()
+            await core_quarantine.start()
+            await core_quarantine.close()
+            return len(core_quarantine.table)
 
         self.assertEqual(curio.run(main), 0)
 
@@ -272,7 +274,7 @@
         """Guards against another crash through an entry host that hasn't synced yet."""
 
         async def main():
-            keeper, links = self.keeper()
+            core_quarantine, links = self.core_quarantine()
             seen = CrashTable()
             add_crashes(seen, "q", 1)
             notice = CrashNotice(seen.select_cases(monotonic(), 16))
@@ -287,33 +289,33 @@
     @params((3, False, [True, False]), (0, False, [True, False]))
     def test_permits_for_trials(self, crashes, alone, expected):
         async def main():
-            keeper, links = self.keeper()
-            add_crashes(keeper.table, "q", crashes, alone)
+            core_quarantine, links = self.core_quarantine()
+            add_crashes(core_quarantine.table, "q", crashes, alone)
             replies = [await links.handler("e1", TrialRequest("q")) for _ in range(2)]
             return [reply.granted for reply in replies]
 
         self.assertEqual(curio.run(main)[: len(expected)], expected)
 
     def test_operator_releases_a_request(self):
-        keeper, _ = self.keeper()
-        add_crashes(keeper.table, "*q", 3)
-        add_crashes(keeper.table, "q", 3, alone=True)
-        (listed,) = keeper.listed()
+        core_quarantine, _ = self.core_quarantine()
+        add_crashes(core_quarantine.table, "*q", 3)
+        add_crashes(core_quarantine.table, "q", 3, alone=True)
+        (listed,) = core_quarantine.listed()
         self.assertEqual((listed.fingerprint, listed.standing), ("q", "held"))
         self.assertEqual(len(listed.crashes), 3)
         self.assertGreater(listed.seconds_left, 0.0)
-        self.assertTrue(keeper.release("q"))
-        self.assertFalse(keeper.release("q"))
-        self.assertEqual(keeper.listed(), [])
+        self.assertTrue(core_quarantine.release("q"))
+        self.assertFalse(core_quarantine.release("q"))
+        self.assertEqual(core_quarantine.listed(), [])
 
     def test_crash_reported_after_a_release_does_not_block_again(self):
         """Guards against reporting a release of a request that wasn't blocked."""
-        keeper, _ = self.keeper()
-        add_crashes(keeper.table, "q", 3, alone=True)
-        self.assertTrue(keeper.release("q"))
+        core_quarantine, _ = self.core_quarantine()
+        add_crashes(core_quarantine.table, "q", 3, alone=True)
+        self.assertTrue(core_quarantine.release("q"))
         late = {"q": CrashRecord(monotonic(), True)}
-        keeper.table.record_crash(late, "s", "t-late", monotonic())
-        self.assertFalse(keeper.release("q"))
+        core_quarantine.table.record_crash(late, "s", "t-late", monotonic())
+        self.assertFalse(core_quarantine.release("q"))
 
 
 if __name__ == "__main__":
