--- a/tests/test_agreement_seeded.py
+++ b/tests/test_agreement_seeded.py
@@ -72,8 +72,7 @@
 
         The leader is lost. A learner that knew it repeats its join request to it alone,
         and the next leader doesn't know that learner. The learner must send join
-        requests to other hosts too. The fault was found in a search for faults
-        (karadeniz-grown, day hunt-64fc-7)."""
+        requests to other hosts too."""
         await cluster.put("a1", 1)
         learner = cluster.running["a2"]
         await cluster.until(lambda: learner.document and learner.document.version == 1)
--- a/tests/test_fleet_knowledge.py
+++ b/tests/test_fleet_knowledge.py
@@ -281,8 +281,7 @@
     def test_core_host_that_is_behind_is_replaced_by_the_next(self, confirmed):
         """Guards against 404 for a new route four seconds after it was accepted: the
         core host of the same region answered but no longer received changes from a
-        leader, and only core hosts that didn't answer were replaced. The fault was
-        found in a search for faults (karadeniz-grown, day hunt-64fc-7)."""
+        leader, and only core hosts that didn't answer were replaced."""
         behind = make_reply(1, confirmed=confirmed)
         client, peers = make_client({"c1": behind, "c2": make_reply(3)})
         core = [CoreHost("c1", "r", 0), CoreHost("c2", "far", 0)]
--- a/tests/test_fleet_large_catalogue.py
+++ b/tests/test_fleet_large_catalogue.py
@@ -3,9 +3,9 @@
 Guards against sending each version of a catalogue of 1,700 routes as a whole, over
 0.3 MB on a link of 5 Mbit/s. Answers that took longer than 0.7 s, or 0.4 s at a start,
 were dropped and requested again from another core host, while callers' answers waited
-on the same link. One late answer of 299,505 bytes took 0.712 s. Entry hosts then used
-versions replaced 5 to 18 seconds before, and after a power failure they served nothing
-at all.
+on the same link. A late answer of about 300 KB took most of a second. Entry hosts then
+used versions replaced 5 to 18 seconds before, and after a power failure they served
+nothing at all.
 """
 
 import contextlib
--- a/tests/test_placement_pace.py
+++ b/tests/test_placement_pace.py
@@ -59,10 +59,9 @@
     def test_stream_that_would_outlast_its_deadline(self, pace, output, expected):
         """Guards against streams that end unfinished at their deadline.
 
-        There were 200 of them in a day of heavy load. Many long prompts keep engines
-        reading, and streams started meanwhile are written at a quarter of the usual
-        speed. Until their deadline they slow down all others. It happens when only
-        slots and memory are considered.
+        Many long prompts keep engines reading, and streams started meanwhile are
+        written at a quarter of the usual speed. Until their deadline they slow down all
+        others. It happens when only slots and memory are considered.
         """
         site = Site(info("t1"), service=SERVICE)
         write(site.table.get("t1"), pace, site.now)
