--- a/packages/node/src/bronzepoint_node/relay/_codec.py
+++ b/packages/node/src/bronzepoint_node/relay/_codec.py
@@ -73,7 +73,7 @@
     def target_headers(
         self,
         head: CallerHead,
-        left: float,
+        time_left: float,
         incarnation: str,
         priority: int | None,
         last_event: str | None,
@@ -84,7 +84,7 @@
 
         Args:
             head: The caller's request.
-            left: Seconds until the deadline.
+            time_left: Seconds until the deadline.
             incarnation: The only incarnation of the target that may run the request;
                 empty: any.
             priority: Rank in the target's queue; None: omitted.
