--- a/packages/node/src/bronzepoint_node/policy/_choose_region.py
+++ b/packages/node/src/bronzepoint_node/policy/_choose_region.py
@@ -161,10 +161,12 @@
         reason = f"less loss than at home, forwarded share {share:.0%}"
         return _make_choice(request, other, reason, local, remote)
     if prefers_remote:
-        reason = f"served at home while the forwarded share rises from {share:.0%}"
+        reason = (
+            f"served at home although the forwarding share is rising from {share:.0%}"
+        )
         return _make_choice(request, local, reason, local, remote)
     if -advantage < _MAX_RETURN_LOSS and rng.random() < share:
-        reason = f"forwarded while the forwarded share falls from {share:.0%}"
+        reason = f"forwarded although the forwarding share is falling from {share:.0%}"
         return _make_choice(request, other, reason, local, remote)
     return _make_choice(request, local, "least expected loss at home", local, remote)
 
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -137,7 +137,7 @@
             TryResult.cut,
         ),
         (
-            "truncated in a complete answer",
+            "truncated unstreamed answer",
             truncated_answer,
             "target_error",
             TryResult.cut,
