--- a/packages/node/src/bronzepoint_node/core/_region_scheduler.py
+++ b/packages/node/src/bronzepoint_node/core/_region_scheduler.py
@@ -86,7 +86,7 @@
         self._engine_poller = EnginePoller(self._table, read, self._poller_count)
         scheduler = Scheduler(
             name,
-            self._placer.home,
+            self._placer.local_selector,
             cold_limiter,
             reservations,
             self._exchange.staleness,
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -54,7 +54,7 @@
     Attributes:
         speeds: Latency estimates.
         regions: The other regions.
-        home: Selects targets of this region.
+        local_selector: Selects targets of this region.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self._rng = rng
         self.speeds = ServiceEstimates()
         self.regions = OtherRegions(region, registry, self.speeds, rng, link_bytes)
-        self.home = LocalTargetSelector(
+        self.local_selector = LocalTargetSelector(
             region,
             table,
             cold,
@@ -112,7 +112,7 @@
         if not self.may_serve_locally(request):
             return self.decide(request, NoLocalTarget(), now)
         return self.decide(
-            request, self.home.choose(self.local_request(request), now), now
+            request, self.local_selector.choose(self.local_request(request), now), now
         )
 
     def decide(
@@ -129,7 +129,7 @@
         service = select_service(request.route, request.request_id)
         if request.forwarded:
             return local or self._reject(service, found)
-        request_view = self.home.request_view(self.local_request(request))
+        request_view = self.local_selector.request_view(self.local_request(request))
         estimates = self.regions.fresh_estimates(request, service, request_view, now)
         remote = self.regions.best(request, service, request_view, estimates, now)
         if remote is None:
@@ -160,7 +160,7 @@
         missing = prompt.tokens - prompt.parts[-1].tokens - local.cached_tokens
         if missing < MIN_MISSING_TOKENS:
             return None
-        usable = self.home.usable(service, now)
+        usable = self.local_selector.usable(service, now)
         slots = sum(target.slots for target in usable if not is_ejected(target))
         return self.regions.cache_holder(request, service, estimates, missing, slots)
 
@@ -181,7 +181,7 @@
         """
         return [
             tracked
-            for tracked in self.home.usable(service, now)
+            for tracked in self.local_selector.usable(service, now)
             if now >= tracked.cold_until
             and not is_ejected(tracked)
             and not is_unresponsive(tracked, now)
@@ -190,7 +190,7 @@
     def _region_load(
         self, service: str, targets: list[TrackedTarget], now: float
     ) -> RegionLoad:
-        views = [self.home.view(t, None, LOWEST_RANK, now) for t in targets]
+        views = [self.local_selector.view(t, None, LOWEST_RANK, now) for t in targets]
         running = sum(max(v.in_flight, v.running + v.waiting) for v in views)
         slots = sum(v.slots for v in views)
         hold = self.speeds.times(service).hold
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -202,7 +202,11 @@
             lambda: region.core_names,
         )
         scheduler = Scheduler(
-            name, self.placer.home, cold, self.reservations, self.exchange.staleness
+            name,
+            self.placer.local_selector,
+            cold,
+            self.reservations,
+            self.exchange.staleness,
         )
         self.client = SchedulerClient(
             self, self.table, self.exchange, scheduler, registry, self.metrics
--- a/tests/test_placement_many_targets.py
+++ b/tests/test_placement_many_targets.py
@@ -94,7 +94,7 @@
             async with Region(1, TARGETS) as region:
                 (host,) = region.hosts.values()
                 prepare(host.table)
-                return host.placer.home.choose(request_for(host), monotonic())
+                return host.placer.local_selector.choose(request_for(host), monotonic())
 
         with unittest.mock.patch.object(LocalTargetSelector, "view", counted):
             return curio.run(main), views["targets"]
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -261,7 +261,7 @@
             site.now += 0.02
             placement = site.place()
             if isinstance(placement, LocalPlacement):
-                site.placer.home._cold.note_sent("t1", site.now)
+                site.placer.local_selector._cold.note_sent("t1", site.now)
                 sent += 1
         self.assertLessEqual(sent, 1 + seconds * 2.0 * 0.7)
         self.assertGreaterEqual(sent, min(most, 1))
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -46,7 +46,7 @@
 async def choose_locally(host, run_id):
     """Send a request as a host that relies on the last reports it received."""
     request = host.make_request()
-    found = host.placer.home.choose(request, monotonic())
+    found = host.placer.local_selector.choose(request, monotonic())
     if isinstance(found, LocalPlacement):
         found.target.begin(run_id, request.prompt, 0, monotonic())
 
--- a/tests/test_placement_suspects.py
+++ b/tests/test_placement_suspects.py
@@ -82,7 +82,7 @@
                 (first, *_) = region.hosts.values()
                 await find(first, suspect=True)
                 request = first.make_request()
-                return first.placer.home.choose(request, monotonic())
+                return first.placer.local_selector.choose(request, monotonic())
 
         self.assertNotIsInstance(curio.run(main), NoLocalTarget)
 
