--- a/packages/node/src/bronzepoint_node/core/_region_scheduler.py
+++ b/packages/node/src/bronzepoint_node/core/_region_scheduler.py
@@ -81,7 +81,7 @@
         # A core host has no callers, so it has no requests of its own to report.
         reservations = Reservations()
         self._exchange = LoadExchange(
-            name, peers, self._table, self._placer.speeds, reservations, lambda: []
+            name, peers, self._table, self._placer.estimates, reservations, lambda: []
         )
         self._engine_poller = EnginePoller(self._table, read, self._poller_count)
         scheduler = Scheduler(
--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -52,7 +52,7 @@
         link_bytes: Bandwidth of an entry host's link in bytes per second.
 
     Attributes:
-        speeds: Latency estimates.
+        estimates: Latency estimates.
         regions: The other regions.
         local_selector: Selects targets of this region.
     """
@@ -70,13 +70,13 @@
         self._region = region
         self._table = table
         self._rng = rng
-        self.speeds = ServiceEstimates()
-        self.regions = OtherRegions(region, registry, self.speeds, rng, link_bytes)
+        self.estimates = ServiceEstimates()
+        self.regions = OtherRegions(region, registry, self.estimates, rng, link_bytes)
         self.local_selector = LocalTargetSelector(
             region,
             table,
             cold,
-            self.speeds,
+            self.estimates,
             lambda: self.regions.host_count(region),
             selecting_hosts or self.hosts,
             rng,
@@ -193,7 +193,7 @@
         views = [self.local_selector.view(t, None, LOWEST_RANK, now) for t in targets]
         running = sum(max(v.in_flight, v.running + v.waiting) for v in views)
         slots = sum(v.slots for v in views)
-        hold = self.speeds.times(service).hold
+        hold = self.estimates.times(service).hold
         wait = min((v.backlog for v in views), default=0.0)
         if slots and running >= slots:
             wait += hold * (running - slots + 1) / slots
@@ -204,7 +204,7 @@
         if isinstance(found, NoLocalTarget) and found.late:
             wait = SLOW_TARGET_WAIT * self._rng.uniform(0.7, 1.5)
             return Rejected(RejectReason.NO_TIME, wait, final=True)
-        hold = self.speeds.times(service).hold
+        hold = self.estimates.times(service).hold
         wait = min(3.0, max(0.3, hold / 2)) * self._rng.uniform(0.7, 1.5)
         is_final = isinstance(found, NoLocalTarget) and found.crowded
         return Rejected(RejectReason.NO_ROOM, wait, is_final)
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -161,7 +161,7 @@
         self._metrics.timing("schedule.known_ms", staleness_ms)
         call.notes.append(f"{name}@{target.info.address}: {placement.reason}")
         run_id = f"{call.head.request_id}.{call.sends}"
-        speeds, rank = self._placer.speeds, call.rank(now)
+        estimates, rank = self._placer.estimates, call.rank(now)
         prompt, source = call.head.prompt, placement.fetch_from
         uncached = target.begin(run_id, prompt, rank, now, placement.cached_tokens)
         watched = self._crash_detector.begin(
@@ -183,7 +183,7 @@
             elapsed_ms = round((first - now) * 1000)
             before = round(placement.tokens_before)
             measured = FirstToken(name, uncached, elapsed_ms, before)
-            speeds.note_first_token(service, measured, first)
+            estimates.note_first_token(service, measured, first)
 
         headers = self._codec.target_headers(
             call.head,
@@ -226,7 +226,7 @@
             case NotRun(reason="connect_failed"):
                 target.record_failed_connection(monotonic())
         if result is TryResult.answered:
-            speeds.note_hold(Hold(service, round(seconds * 1000)))
+            estimates.note_hold(Hold(service, round(seconds * 1000)))
         return outcome
 
     def _record_end(
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -196,7 +196,7 @@
             name,
             self,
             self.table,
-            self.placer.speeds,
+            self.placer.estimates,
             self.reservations,
             lambda: others,
             lambda: region.core_names,
--- a/tests/test_placement_pace.py
+++ b/tests/test_placement_pace.py
@@ -104,7 +104,7 @@
             if isinstance(placed, LocalPlacement):
                 tracked.begin(f"r{number}", request_prompt, 2, site.now)
         started = outcomes.count(LocalPlacement)
-        rate = site.placer.speeds.rate("s").tokens_per_second
+        rate = site.placer.estimates.rate("s").tokens_per_second
         self.assertGreater(started, 5)
         self.assertLess(started * 12_000 / rate, 2 * TIME_LEFT)
         self.assertEqual(outcomes[-1], Rejected)
--- a/tests/test_relay_placement_wait.py
+++ b/tests/test_relay_placement_wait.py
@@ -57,7 +57,7 @@
                 tracked.load.begin(f"{scheduler.name}-{number}", run)
     for host in region.hosts.values():
         for _ in range(MANY):
-            host.placer.speeds.learn_hold(Hold("s", hold_ms))
+            host.placer.estimates.learn_hold(Hold("s", hold_ms))
 
 
 async def find_placement(host, call):
