--- a/packages/node/src/bronzepoint_node/placement/_engine_poller.py
+++ b/packages/node/src/bronzepoint_node/placement/_engine_poller.py
@@ -114,7 +114,7 @@
             # about the former one would be attributed to the new one.
             if not tracked.replaced:
                 _log.warning("target started anew", target=name, reason=str(exc))
-            tracked.note_replaced()
+            tracked.record_replacement()
         else:
             self._unreadable.pop(name, None)
             tracked.apply_report(report, polled_at, runs)
--- a/packages/node/src/bronzepoint_node/placement/_tracked_target.py
+++ b/packages/node/src/bronzepoint_node/placement/_tracked_target.py
@@ -224,7 +224,7 @@
         self.load.changed = True
         self.record_failure(now)
 
-    def note_replaced(self) -> None:
+    def record_replacement(self) -> None:
         """Take the target out of use until the list names its new incarnation.
 
         This is reported to the other hosts: the target looks idle, and each of them
--- a/packages/node/src/bronzepoint_node/relay/_sender.py
+++ b/packages/node/src/bronzepoint_node/relay/_sender.py
@@ -221,7 +221,7 @@
             case NotRun(reason="replaced"):
                 # The target list is outdated. Until its next update every request
                 # placed on this target would be sent there and refused.
-                target.note_replaced()
+                target.record_replacement()
                 self._crash_detector.record_replacement(target.info)
             case NotRun(reason="connect_failed"):
                 target.record_failed_connection(monotonic())
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -127,7 +127,7 @@
 
 class TestSeenByOneHost(unittest.TestCase):
     # An unreachable target is tried periodically.
-    @params(("note_replaced", 0), ("record_failed_connection", 1))
+    @params(("record_replacement", 0), ("record_failed_connection", 1))
     def test_failure_seen_by_one_host_is_reported_to_the_others(self, seen, trials):
         """Guards against refusals after a crash although there is free capacity.
 
@@ -141,8 +141,8 @@
                 for name in region.names[:3]:
                     tracked = region.hosts[name].table.get("t0")
                     for _ in range(2):
-                        if seen == "note_replaced":
-                            tracked.note_replaced()
+                        if seen == "record_replacement":
+                            tracked.record_replacement()
                         else:
                             tracked.record_failed_connection(monotonic())
                 await curio.sleep(UNRESPONSIVE_AFTER + 3 * REPORT_INTERVAL)
