--- a/tests/test_relay_request_queue.py
+++ b/tests/test_relay_request_queue.py
@@ -26,7 +26,7 @@
     return QueuedRequest(rank, arrived, monotonic() + max_wait)
 
 
-class TestWaitingLine(unittest.TestCase):
+class TestRequestQueue(unittest.TestCase):
     @params((1, 1), (HEAD_COUNT, HEAD_COUNT), (40, HEAD_COUNT))
     def test_only_the_first_check_for_capacity(self, count, expected):
         """Guards against a host that spends its processor time on capacity checks, so
