--- a/tests/test_placement_collector.py
+++ b/tests/test_placement_collector.py
@@ -155,7 +155,7 @@
         self.assertEqual(most[24][-2], most[12][-2], "members send no more messages")
         self.assertLessEqual(most[24][-1], 2.2 * most[12][-1])
 
-    def test_dead_collector_is_left(self):
+    def test_dead_collector_is_replaced(self):
         """Guards against hosts of a region that all send to the same target.
 
         This happens when the collector dies but still counts as live for a while, and
@@ -220,7 +220,7 @@
             self.assertLessEqual(max(h.in_flight("t1") for h in present), 11)
         self.assertEqual({h.in_flight("t1") for h in present}, {11})
 
-    def test_collector_that_was_started_anew_is_told_all(self):
+    def test_restarted_collector_receives_full_loads(self):
         """Guards against targets that are overloaded for a second after a restart.
 
         A restarted collector knows no requests of its members. They report only
@@ -311,7 +311,7 @@
             self.assertAlmostEqual(reported_at, tracked.report_at, delta=0.01)
 
     @params((0.5, False), (5.0, True))
-    def test_engine_that_is_silent_for_the_collector(self, contact_age, unresponsive):
+    def test_engine_unresponsive_only_to_the_collector(self, contact_age, unresponsive):
         """Guards against a working engine that gets no requests from a whole region.
 
         This happens when only the collector cannot reach it, and its report takes
--- a/tests/test_placement_pace.py
+++ b/tests/test_placement_pace.py
@@ -48,7 +48,7 @@
         self.assertAlmostEqual(pace.seconds_per_event(10.0 + later), expected)
 
 
-class TestWhatIsBegun(unittest.TestCase):
+class TestDeadlineAdmission(unittest.TestCase):
     @params(
         # seconds per event, tokens of the answer, expected result
         (0.05, 350, LocalPlacement),
@@ -86,7 +86,7 @@
         }
         self.assertEqual(chosen, {"t2"})
 
-    def test_crowd_of_long_prompts_is_begun_as_far_as_it_ends(self):
+    def test_only_long_prompts_that_end_in_time_are_started(self):
         """Guards against streams that nearly all end unfinished at their deadline.
 
         This happens when 119 callers retry within a quarter of a second after all hosts
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -358,7 +358,7 @@
         tracked = site.table.get("t1")
         self.assertEqual((tracked.failed_reports, tracked.replaced), (failed, replaced))
 
-    def test_new_start_under_the_same_id_begins_with_nothing(self):
+    def test_restart_under_the_same_id_starts_empty(self):
         """Guards against a target that looks busy and warm after a restart.
 
         A target with requests in progress and cached parts crashes, and is listed under
@@ -377,7 +377,7 @@
         self.assertEqual(restarted.failed_reports, 0)
 
 
-class TestWhatOtherRegionsAreTold(unittest.TestCase):
+class TestReportedRegionLoads(unittest.TestCase):
     @params(
         ({}, 2),
         ({"cold_ms": 3000}, 1),
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -51,7 +51,7 @@
         found.target.begin(run_id, request.prompt, 0, monotonic())
 
 
-class TestHerd(unittest.TestCase):
+class TestSchedulerSelection(unittest.TestCase):
     def test_no_target_is_overrun(self):
         """Guards against engines that refuse a third of their requests.
 
@@ -184,7 +184,7 @@
         self.assertEqual((known, reported), (9, [9]))
         self.assertEqual(second, core - first)
 
-    def test_host_that_knows_no_targets_yet_refuses_nobody(self):
+    def test_host_without_target_list_refuses_nothing(self):
         """Guards against refused requests while all targets are idle.
 
         This happens when a restarted scheduler is queried before it has read the list
@@ -234,7 +234,7 @@
         self.assertEqual(load.in_flight(15.5), 0)
 
 
-class TestSilentScheduler(unittest.TestCase):
+class TestUnresponsiveScheduler(unittest.TestCase):
     def test_nothing_waits_on_a_dead_host(self):
         """Guards against a region whose requests all stall when one host dies.
 
@@ -406,7 +406,7 @@
         self.assertEqual(curio.run(main), NoLocalTarget(late=False))
 
 
-class TestTalk(unittest.TestCase):
+class TestNoticeTraffic(unittest.TestCase):
     def test_own_traffic_leaves_the_link_to_callers(self):
         """Guards against a collector whose notices fill its link and delay its answers.
 
