--- a/packages/cli/src/bronzepoint_cli/commands/catalogue.py
+++ b/packages/cli/src/bronzepoint_cli/commands/catalogue.py
@@ -35,7 +35,7 @@
 )
 
 STANDARD_INPUT = Path("-")
-"""File argument that stands for standard input."""
+"""File argument that selects standard input."""
 
 
 class Applied(msgspec.Struct):
--- a/packages/common/src/bronzepoint_common/http/_client.py
+++ b/packages/common/src/bronzepoint_common/http/_client.py
@@ -409,7 +409,7 @@
             raise AnswerMalformed(self._address, str(exc)) from exc
 
     def _check_length(self, status: int, headers: dict[str, str]) -> None:
-        # An answer that ends with its connection looks the same whether it is
+        # An answer that ends with its connection does not show whether it is
         # complete or truncated: a part of it would be relayed as the whole.
         if status in BODYLESS_STATUSES or self._request.method == b"HEAD":
             return
--- a/packages/common/src/bronzepoint_common/http/_exchange.py
+++ b/packages/common/src/bronzepoint_common/http/_exchange.py
@@ -187,7 +187,7 @@
             raise Disconnected("it closed the connection")
 
     async def wait_disconnect(self) -> None:
-        """Return when the caller has disconnected; runs in a task beside the handler.
+        """Return when the caller has disconnected; runs concurrently with the handler.
 
         Reads data that the caller sends before the answer ends, up to the limit of a
         head.
--- a/packages/common/src/bronzepoint_common/logs.py
+++ b/packages/common/src/bronzepoint_common/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object per line, with typed fields beside the message."""
+"""Structured logs: one JSON object per line, with the message and typed fields."""
 
 import io
 import sys
--- a/packages/emulator/src/bronzepoint_emulator/deployment/_process.py
+++ b/packages/emulator/src/bronzepoint_emulator/deployment/_process.py
@@ -21,7 +21,7 @@
 _LIBC = ctypes.CDLL(None, use_errno=True)
 # The kernel sends the parent-death signal when the *thread* that forked ends, not the
 # process. A daemon started from a short-lived thread would be killed in the middle of a
-# test, so a single thread that lives as long as the process starts all children.
+# test, so a single thread that runs as long as the process starts all children.
 _SPAWNER = ThreadPoolExecutor(max_workers=1, thread_name_prefix="spawner")
 
 
--- a/packages/emulator/src/bronzepoint_emulator/fault_proxy/_link.py
+++ b/packages/emulator/src/bronzepoint_emulator/fault_proxy/_link.py
@@ -109,7 +109,7 @@
             return
         finally:
             # A connection that failed before its end of stream is reset on both
-            # sides, so that neither takes a truncated stream for a complete one.
+            # sides, so that neither treats a truncated stream as complete.
             await close_socket(client)
             if server is not None:
                 await close_socket(server)
--- a/packages/node/src/bronzepoint_node/placement/_collector_selector.py
+++ b/packages/node/src/bronzepoint_node/placement/_collector_selector.py
@@ -20,7 +20,7 @@
 
     Hosts that know the same hosts select the same collector without exchanging
     messages. A collector that is dead or partitioned would leave its members without
-    any load reports: each would send to the target that looks idle to it.
+    any load reports: each would send to the target that is idle by its own data.
 
     Args:
         name: This host.
--- a/packages/node/src/bronzepoint_node/placement/_scheduler.py
+++ b/packages/node/src/bronzepoint_node/placement/_scheduler.py
@@ -142,7 +142,7 @@
 
         One call serves as many requests as there is capacity for. If each request
         checked when it moves up, a long queue would use up the processor. If only the
-        first few were served, the queue would drain slowly beside idle targets.
+        first few were served, the queue would drain slowly although targets are idle.
         """
         now = monotonic()
         if now < queue.polled_at + MIN_POLL_PAUSE:
--- a/packages/node/src/bronzepoint_node/placement/_tracked_target.py
+++ b/packages/node/src/bronzepoint_node/placement/_tracked_target.py
@@ -218,7 +218,7 @@
     def record_failed_connection(self, now: float) -> None:
         """Record a failed connection, to be reported at once.
 
-        A crashed target looks idle to hosts that do not know of the crash.
+        Hosts that do not know of the crash would treat the target as idle.
         """
         self.unreached += 1
         self.load.changed = True
@@ -227,8 +227,8 @@
     def record_replacement(self) -> None:
         """Take the target out of use until the list names its new incarnation.
 
-        This is reported to the other hosts: the target looks idle, and each of them
-        would send a request there that fails.
+        This is reported to the other hosts: otherwise each would treat the target as
+        idle and send a request there that fails.
         """
         self.replaced = True
         self.load.changed = True
--- a/packages/node/src/bronzepoint_node/run_once/_replica_log.py
+++ b/packages/node/src/bronzepoint_node/run_once/_replica_log.py
@@ -156,7 +156,7 @@
                 await self._write_group(group)
             except StorageFailed as exc:
                 # It is unknown what reached the disk, so a vote sent now could be
-                # lost. Not voting looks like a failed host to the others, which a
+                # lost. Others treat a host that does not vote as failed, which a
                 # majority tolerates.
                 self._failure = exc
                 self._metrics.incr("run_once.log.failed")
