--- a/packages/node/src/bronzepoint_node/placement/_placer.py
+++ b/packages/node/src/bronzepoint_node/placement/_placer.py
@@ -52,9 +52,9 @@
         link_bytes: Bandwidth of an entry host's link in bytes per second.
 
     Attributes:
-        speeds: Latency estimates.
+        estimates: Latency estimates.
         regions: The other regions.
-        home: Selects targets of this region.
+        local_selector: Selects targets of this region.
     """
 
     def __init__(
@@ -70,13 +70,13 @@
         self._region = region
         self._table = table
         self._rng = rng
-        self.speeds = ServiceEstimates()
-        self.regions = OtherRegions(region, registry, self.speeds, rng, link_bytes)
-        self.home = LocalTargetSelector(
+        self.estimates = ServiceEstimates()
+        self.regions = OtherRegions(region, registry, self.estimates, rng, link_bytes)
+        self.local_selector = LocalTargetSelector(
             region,
             table,
             cold,
-            self.speeds,
+            self.estimates,
             lambda: self.regions.host_count(region),
             selecting_hosts or self.hosts,
             rng,
@@ -112,7 +112,7 @@
         if not self.may_serve_locally(request):
             return self.decide(request, NoLocalTarget(), now)
         return self.decide(
-            request, self.home.choose(self.local_request(request), now), now
+            request, self.local_selector.choose(self.local_request(request), now), now
         )
 
     def decide(
@@ -129,7 +129,7 @@
         service = select_service(request.route, request.request_id)
         if request.forwarded:
             return local or self._reject(service, found)
-        request_view = self.home.request_view(self.local_request(request))
+        request_view = self.local_selector.request_view(self.local_request(request))
         estimates = self.regions.fresh_estimates(request, service, request_view, now)
         remote = self.regions.best(request, service, request_view, estimates, now)
         if remote is None:
@@ -160,7 +160,7 @@
         missing = prompt.tokens - prompt.parts[-1].tokens - local.cached_tokens
         if missing < MIN_MISSING_TOKENS:
             return None
-        usable = self.home.usable(service, now)
+        usable = self.local_selector.usable(service, now)
         slots = sum(target.slots for target in usable if not is_ejected(target))
         return self.regions.cache_holder(request, service, estimates, missing, slots)
 
@@ -181,7 +181,7 @@
         """
         return [
             tracked
-            for tracked in self.home.usable(service, now)
+            for tracked in self.local_selector.usable(service, now)
             if now >= tracked.cold_until
             and not is_ejected(tracked)
             and not is_unresponsive(tracked, now)
@@ -190,10 +190,10 @@
     def _region_load(
         self, service: str, targets: list[TrackedTarget], now: float
     ) -> RegionLoad:
-        views = [self.home.view(t, None, LOWEST_RANK, now) for t in targets]
+        views = [self.local_selector.view(t, None, LOWEST_RANK, now) for t in targets]
         running = sum(max(v.in_flight, v.running + v.waiting) for v in views)
         slots = sum(v.slots for v in views)
-        hold = self.speeds.times(service).hold
+        hold = self.estimates.times(service).hold
         wait = min((v.backlog for v in views), default=0.0)
         if slots and running >= slots:
             wait += hold * (running - slots + 1) / slots
@@ -204,7 +204,7 @@
         if isinstance(found, NoLocalTarget) and found.late:
             wait = SLOW_TARGET_WAIT * self._rng.uniform(0.7, 1.5)
             return Rejected(RejectReason.NO_TIME, wait, final=True)
-        hold = self.speeds.times(service).hold
+        hold = self.estimates.times(service).hold
         wait = min(3.0, max(0.3, hold / 2)) * self._rng.uniform(0.7, 1.5)
         is_final = isinstance(found, NoLocalTarget) and found.crowded
         return Rejected(RejectReason.NO_ROOM, wait, is_final)
--- a/tests/_scheduling_region.py
+++ b/tests/_scheduling_region.py
@@ -196,13 +196,17 @@
             name,
             self,
             self.table,
-            self.placer.speeds,
+            self.placer.estimates,
             self.reservations,
             lambda: others,
             lambda: region.core_names,
         )
         scheduler = Scheduler(
-            name, self.placer.home, cold, self.reservations, self.exchange.staleness
+            name,
+            self.placer.local_selector,
+            cold,
+            self.reservations,
+            self.exchange.staleness,
         )
         self.client = SchedulerClient(
             self, self.table, self.exchange, scheduler, registry, self.metrics
--- a/tests/test_placement_pace.py
+++ b/tests/test_placement_pace.py
@@ -48,7 +48,7 @@
         self.assertAlmostEqual(pace.seconds_per_event(10.0 + later), expected)
 
 
-class TestWhatIsBegun(unittest.TestCase):
+class TestDeadlineAdmission(unittest.TestCase):
     @params(
         # seconds per event, tokens of the answer, expected result
         (0.05, 350, LocalPlacement),
@@ -59,10 +59,9 @@
     def test_stream_that_would_outlast_its_deadline(self, pace, output, expected):
         """Guards against streams that end unfinished at their deadline.
 
-        There were 200 of them in a day of heavy load. Many long prompts keep engines
-        reading, and streams started meanwhile are written at a quarter of the usual
-        speed. Until their deadline they slow down all others. It happens when only
-        slots and memory are considered.
+        Many long prompts keep engines reading, and streams started meanwhile are
+        written at a quarter of the usual speed. Until their deadline they slow down all
+        others. It happens when only slots and memory are considered.
         """
         site = Site(info("t1"), service=SERVICE)
         write(site.table.get("t1"), pace, site.now)
@@ -87,7 +86,7 @@
         }
         self.assertEqual(chosen, {"t2"})
 
-    def test_crowd_of_long_prompts_is_begun_as_far_as_it_ends(self):
+    def test_only_long_prompts_that_end_in_time_are_started(self):
         """Guards against streams that nearly all end unfinished at their deadline.
 
         This happens when 119 callers retry within a quarter of a second after all hosts
@@ -105,7 +104,7 @@
             if isinstance(placed, LocalPlacement):
                 tracked.begin(f"r{number}", request_prompt, 2, site.now)
         started = outcomes.count(LocalPlacement)
-        rate = site.placer.speeds.rate("s").tokens_per_second
+        rate = site.placer.estimates.rate("s").tokens_per_second
         self.assertGreater(started, 5)
         self.assertLess(started * 12_000 / rate, 2 * TIME_LEFT)
         self.assertEqual(outcomes[-1], Rejected)
--- a/tests/test_placement_placer.py
+++ b/tests/test_placement_placer.py
@@ -261,7 +261,7 @@
             site.now += 0.02
             placement = site.place()
             if isinstance(placement, LocalPlacement):
-                site.placer.home._cold.note_sent("t1", site.now)
+                site.placer.local_selector._cold.note_sent("t1", site.now)
                 sent += 1
         self.assertLessEqual(sent, 1 + seconds * 2.0 * 0.7)
         self.assertGreaterEqual(sent, min(most, 1))
@@ -358,7 +358,7 @@
         tracked = site.table.get("t1")
         self.assertEqual((tracked.failed_reports, tracked.replaced), (failed, replaced))
 
-    def test_new_start_under_the_same_id_begins_with_nothing(self):
+    def test_restart_under_the_same_id_starts_empty(self):
         """Guards against a target that looks busy and warm after a restart.
 
         A target with requests in progress and cached parts crashes, and is listed under
@@ -377,7 +377,7 @@
         self.assertEqual(restarted.failed_reports, 0)
 
 
-class TestWhatOtherRegionsAreTold(unittest.TestCase):
+class TestReportedRegionLoads(unittest.TestCase):
     @params(
         ({}, 2),
         ({"cold_ms": 3000}, 1),
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -46,12 +46,12 @@
 async def choose_locally(host, run_id):
     """Send a request as a host that relies on the last reports it received."""
     request = host.make_request()
-    found = host.placer.home.choose(request, monotonic())
+    found = host.placer.local_selector.choose(request, monotonic())
     if isinstance(found, LocalPlacement):
         found.target.begin(run_id, request.prompt, 0, monotonic())
 
 
-class TestHerd(unittest.TestCase):
+class TestSchedulerSelection(unittest.TestCase):
     def test_no_target_is_overrun(self):
         """Guards against engines that refuse a third of their requests.
 
@@ -127,7 +127,7 @@
 
 class TestSeenByOneHost(unittest.TestCase):
     # An unreachable target is tried periodically.
-    @params(("note_replaced", 0), ("record_failed_connection", 1))
+    @params(("record_replacement", 0), ("record_failed_connection", 1))
     def test_failure_seen_by_one_host_is_reported_to_the_others(self, seen, trials):
         """Guards against refusals after a crash although there is free capacity.
 
@@ -141,8 +141,8 @@
                 for name in region.names[:3]:
                     tracked = region.hosts[name].table.get("t0")
                     for _ in range(2):
-                        if seen == "note_replaced":
-                            tracked.note_replaced()
+                        if seen == "record_replacement":
+                            tracked.record_replacement()
                         else:
                             tracked.record_failed_connection(monotonic())
                 await curio.sleep(UNRESPONSIVE_AFTER + 3 * REPORT_INTERVAL)
@@ -184,7 +184,7 @@
         self.assertEqual((known, reported), (9, [9]))
         self.assertEqual(second, core - first)
 
-    def test_host_that_knows_no_targets_yet_refuses_nobody(self):
+    def test_host_without_target_list_refuses_nothing(self):
         """Guards against refused requests while all targets are idle.
 
         This happens when a restarted scheduler is queried before it has read the list
@@ -234,7 +234,7 @@
         self.assertEqual(load.in_flight(15.5), 0)
 
 
-class TestSilentScheduler(unittest.TestCase):
+class TestUnresponsiveScheduler(unittest.TestCase):
     def test_nothing_waits_on_a_dead_host(self):
         """Guards against a region whose requests all stall when one host dies.
 
@@ -406,7 +406,7 @@
         self.assertEqual(curio.run(main), NoLocalTarget(late=False))
 
 
-class TestTalk(unittest.TestCase):
+class TestNoticeTraffic(unittest.TestCase):
     def test_own_traffic_leaves_the_link_to_callers(self):
         """Guards against a collector whose notices fill its link and delay its answers.
 
