--- a/packages/node/src/bronzepoint_node/agreement/_errors.py
+++ b/packages/node/src/bronzepoint_node/agreement/_errors.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         super().__init__(
-            "No voter knows a leader, so the change was not accepted. Remedy: check "
+            "No voter knows a leader, so the change was not taken. Remedy: check "
             "that a quorum of the voters runs and that 'cluster init' was done, then "
             "send it again."
         )
